--- a/packages/client/src/common/addressBook.ts
+++ b/packages/client/src/common/addressBook.ts
@@ -38,7 +38,7 @@
   }
 
   /** Moves to the next address after one has failed. */
-  noteFailure (address: string): void {
+  recordFailure (address: string): void {
     if (this._addresses[this._turn % this._addresses.length] === address) this._turn++
     this._validUntilMs = 0
   }
--- a/packages/client/src/common/client.ts
+++ b/packages/client/src/common/client.ts
@@ -15,7 +15,7 @@
 
 /** Reasons after which the same request may succeed a little later. */
 const PASSING_REASONS: ReadonlySet<Reason> = new Set([
-  Reason.NotReady, Reason.HomeMoved, Reason.HomeUnreachable, Reason.LogUnavailable, Reason.NoBackend, Reason.EngineFailed,
+  Reason.NotReady, Reason.OwnerMoved, Reason.OwnerUnreachable, Reason.LogUnavailable, Reason.NoBackend, Reason.EngineFailed,
   Reason.Draining, Reason.BusyStep, Reason.Cancelled
 ])
 
@@ -100,7 +100,7 @@
       const mayPass = reply === undefined || (reply.type === 'notRun' && PASSING_REASONS.has(reply.reason)) || reply.type === 'unknown' ||
         (options.retriesOverload === true && reply.type === 'notRun' && reply.reason === Reason.Overloaded)
       if (!mayPass) return Left(failure)
-      if (reply === undefined || (reply.type === 'notRun' && reply.reason === Reason.Draining)) this.addresses.noteFailure(address)
+      if (reply === undefined || (reply.type === 'notRun' && reply.reason === Reason.Draining)) this.addresses.recordFailure(address)
       await this.backOff(round, reply)
     }
     return Left(failure)
@@ -255,7 +255,7 @@
   }
 
   private _forgetHome (address: string): void {
-    this._client.addresses.noteFailure(address)
+    this._client.addresses.recordFailure(address)
     this._home = undefined
   }
 
--- a/packages/core/src/common/configuration/configuration.ts
+++ b/packages/core/src/common/configuration/configuration.ts
@@ -16,7 +16,7 @@
 import { IPeers } from '../peers/peers.js'
 import { CONTROL_STREAM, type AuditEntry, type ControlRecord, type ControlState, type EnvironmentState } from './controlRecords.js'
 import { isControlRecord } from './controlSchema.js'
-import { createControlState, findEnvironment, foldControlRecord, foldTruncatedLog, noteSkippedRecord } from './controlFold.js'
+import { createControlState, findEnvironment, foldControlRecord, foldTruncatedLog, recordSkippedRecord } from './controlFold.js'
 import { type Backend, type ConfigurationDocument, type Customer, parseDocument, type WorkKind } from './document.js'
 
 const READ_PAGE_RECORDS = 500
@@ -235,7 +235,7 @@
   private _skip (stored: StoredRecord): void {
     if (stored.offset < this._state.nextOffset) return
     this._logger.warn('controlRecordSkipped', { offset: stored.offset })
-    noteSkippedRecord(this._state, stored.offset, this._clock.nowMs())
+    recordSkippedRecord(this._state, stored.offset, this._clock.nowMs())
   }
 
   /** Rebuilds the state when older records had expired before this node read them. */
--- a/packages/core/src/common/configuration/controlFold.ts
+++ b/packages/core/src/common/configuration/controlFold.ts
@@ -44,7 +44,7 @@
 }
 
 /** Passes over a damaged record, and says so in the audit trail. */
-export function noteSkippedRecord (state: ControlState, offset: number, atMs: number): void {
+export function recordSkippedRecord (state: ControlState, offset: number, atMs: number): void {
   state.nextOffset = offset + 1
   keepLast(state.audit, { offset, atMs, action: 'recordSkipped', by: '', subject: 'control', outcome: 'noted', detail: 'the record is damaged or of an unknown type' }, AUDIT_ENTRIES_KEPT)
 }
--- a/packages/core/src/common/configuration/controlRecords.ts
+++ b/packages/core/src/common/configuration/controlRecords.ts
@@ -38,7 +38,7 @@
 /** The node has handed over every program: its journal needs no takeover. */
 export interface NodeEnded extends LogRecord { type: 'nodeEnded', node: NodeRef, atMs: number }
 /** Every program of a journal has a new home. */
-export interface JournalAdopted extends LogRecord { type: 'journalAdopted', journal: string, by: NodeRef, programCount: number, atMs: number }
+export interface JournalTakenOver extends LogRecord { type: 'journalAdopted', journal: string, by: NodeRef, programCount: number, atMs: number }
 /** A request was in flight when a worker crashed; after two different workers every node refuses it. */
 export interface RequestSuspected extends LogRecord { type: 'requestSuspected', fingerprint: string, worker: string, by: string, atMs: number }
 /** A suspected request has run to its end. */
@@ -47,7 +47,7 @@
 export interface EngineOrdered extends LogRecord { type: 'engineOrdered', worker: string, model: string, by: NodeRef, atMs: number }
 
 export type ControlRecord = ConfigurationChanged | ConfigurationPromoted | ControlSnapshot | NodeStarted | NodeEnded |
-  JournalAdopted | RequestSuspected | RequestCleared | EngineOrdered
+  JournalTakenOver | RequestSuspected | RequestCleared | EngineOrdered
 
 /** The configuration of one environment. */
 export interface EnvironmentState {
--- a/packages/core/src/common/dispatch/crashSuspicions.ts
+++ b/packages/core/src/common/dispatch/crashSuspicions.ts
@@ -10,7 +10,7 @@
   sinceMs: number
 }
 
-export interface CrashSuspicionsOptions {
+export interface SuspectRequestsOptions {
   /** Crashes of different workers that prove a request guilty. */
   crashesToQuarantine: number
   /** Crashes closer together than this have one cause beside the request, such as a rack without power, and count once. */
@@ -23,11 +23,11 @@
  * suspicions.add('f', 'w1', nowMs)
  * suspicions.add('f', 'w2', nowMs) // true: 'f' is quarantined from now on
  */
-export class CrashSuspicions {
+export class SuspectRequests {
   private readonly _suspicions = new Map<string, Suspicion>()
   private readonly _quarantined = new Set<string>()
 
-  constructor (private readonly _options: CrashSuspicionsOptions) {}
+  constructor (private readonly _options: SuspectRequestsOptions) {}
 
   /** True while no request is suspect, so that none has to be looked up. */
   get isEmpty (): boolean {
--- a/packages/core/src/common/dispatch/modelDispatch.ts
+++ b/packages/core/src/common/dispatch/modelDispatch.ts
@@ -16,7 +16,7 @@
 import type { SlotReport } from '../peers/messages.js'
 import { isMoveCheaper } from '../placement/cacheMove.js'
 import { IPlacement } from '../placement/placement.js'
-import { ISlots, type Slot } from '../placement/slots.js'
+import { ISlotRequester, type Slot } from '../placement/slots.js'
 import { IOutliers } from './outliers.js'
 import { IQuarantine } from './quarantine.js'
 import { IRetryBudget } from './retryBudget.js'
@@ -77,7 +77,7 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IMembership) private readonly _membership: IMembership,
     @inject(IPlacement) private readonly _placement: IPlacement,
-    @inject(ISlots) private readonly _slots: ISlots,
+    @inject(ISlotRequester) private readonly _slots: ISlotRequester,
     @inject(IRetryBudget) private readonly _retryBudget: IRetryBudget,
     @inject(IOutliers) private readonly _outliers: IOutliers,
     @inject(IQuarantine) private readonly _quarantine: IQuarantine,
@@ -85,7 +85,7 @@
   ) {}
 
   run (job: ModelJob): IDisposable {
-    this._retryBudget.noteFirstAttempt(job.customer)
+    this._retryBudget.recordFirstAttempt(job.customer)
     const run = new ModelRun(job, {
       settings: this._settings,
       clock: this._clock,
@@ -115,7 +115,7 @@
   configuration: IConfiguration
   membership: IMembership
   placement: IPlacement
-  slots: ISlots
+  slots: ISlotRequester
   retryBudget: IRetryBudget
   outliers: IOutliers
   quarantine: IQuarantine
@@ -246,8 +246,8 @@
 
   private _finish (worker: string, result: ModelResult): void {
     this._releaseSlot(this._report(true, result))
-    this._services.outliers.noteSuccess(worker)
-    this._services.quarantine.noteSuccess(this._job.fingerprint)
+    this._services.outliers.recordSuccess(worker)
+    this._services.quarantine.recordRequestSuccess(this._job.fingerprint)
     this._isOver = true
     const whole: ModelResult = { ...result, text: this._text, completionTokens: this._tokens }
     this._job.onDone({ type: 'done', result: whole, worker, chargedTokens: this._chargedTokens + this._tokens })
@@ -257,7 +257,7 @@
     this._releaseSlot(event.isUntouched ? undefined : this._report(false))
     this._failedWorkers.add(worker)
     if (event.isLeaving) this._services.membership.markLeaving(worker)
-    else this._services.outliers.noteFailure(worker)
+    else this._services.outliers.recordFailure(worker)
     this._services.logger.warn('engineCallFailed', { worker, program: this._job.programId, detail: event.detail, untouched: event.isUntouched })
     if (event.isUntouched) {
       this._attempts--
@@ -266,7 +266,7 @@
     }
     this._chargedTokens += this._job.maxTokens - (this._tokens - this._attemptTokens)
     const isCrash = event.isConnectionLost && !event.isLeaving
-    if (isCrash) this._services.quarantine.noteCrash(this._job.fingerprint, worker)
+    if (isCrash) this._services.quarantine.recordCrash(this._job.fingerprint, worker)
     this._retryLater(event.detail, false)
   }
 
--- a/packages/core/src/common/dispatch/outliers.ts
+++ b/packages/core/src/common/dispatch/outliers.ts
@@ -15,8 +15,8 @@
 
 /** Knows which workers should get no work for now. */
 export interface IOutliers {
-  noteSuccess (worker: string): void
-  noteFailure (worker: string): void
+  recordSuccess (worker: string): void
+  recordFailure (worker: string): void
   /** True while a worker is ejected. Never more than the configured share of a back end is. */
   isEjected (worker: string): boolean
 }
@@ -33,11 +33,11 @@
     @inject(ILogger) private readonly _logger: ILogger
   ) {}
 
-  noteSuccess (worker: string): void {
+  recordSuccess (worker: string): void {
     this._health.delete(worker)
   }
 
-  noteFailure (worker: string): void {
+  recordFailure (worker: string): void {
     const health = this._health.get(worker) ?? { failuresInRow: 0, ejectedUntilMs: 0, ejections: 0 }
     health.failuresInRow++
     this._health.set(worker, health)
--- a/packages/core/src/common/dispatch/quarantine.ts
+++ b/packages/core/src/common/dispatch/quarantine.ts
@@ -4,7 +4,7 @@
 import { ILogger } from '../kernel/effectQueue.js'
 import { NodeIdentity } from '../kernel/node.js'
 import { IConfiguration } from '../configuration/configuration.js'
-import { CrashSuspicions } from './crashSuspicions.js'
+import { SuspectRequests } from './crashSuspicions.js'
 
 const PUBLISH_TIMEOUT_MS = 60_000
 /** Two connections that break under the same request; which of the requests beside it is guilty, only a second crash tells. */
@@ -13,8 +13,8 @@
 /** Remembers requests that were in flight when a worker crashed. All nodes share the knowledge through the control stream. */
 export interface IQuarantine {
   /** Notes that the connection to a worker broke while it ran the request. */
-  noteCrash (fingerprint: string, worker: string): void
-  noteSuccess (fingerprint: string): void
+  recordCrash (fingerprint: string, worker: string): void
+  recordRequestSuccess (fingerprint: string): void
   /** True after one crash: the request may be the cause, or may have been beside it. */
   isSuspect (fingerprint: string): boolean
   /** Workers that crashed while they ran the request. */
@@ -26,7 +26,7 @@
 
 @injectable()
 export class Quarantine implements IQuarantine {
-  private readonly _suspicions = new CrashSuspicions({ crashesToQuarantine: CRASHES_TO_QUARANTINE })
+  private readonly _suspicions = new SuspectRequests({ crashesToQuarantine: CRASHES_TO_QUARANTINE })
 
   constructor (
     @inject(NodeIdentity) private readonly _identity: NodeIdentity,
@@ -47,13 +47,13 @@
     })
   }
 
-  noteCrash (fingerprint: string, worker: string): void {
+  recordCrash (fingerprint: string, worker: string): void {
     this._add(fingerprint, worker)
     const record = { type: 'requestSuspected', fingerprint, worker, by: this._identity.node, atMs: this._clock.nowMs() } as const
     this._configuration.publish(record, PUBLISH_TIMEOUT_MS, () => {})
   }
 
-  noteSuccess (fingerprint: string): void {
+  recordRequestSuccess (fingerprint: string): void {
     if (!this._suspicions.clear(fingerprint)) return
     const record = { type: 'requestCleared', fingerprint, by: this._identity.node, atMs: this._clock.nowMs() } as const
     this._configuration.publish(record, PUBLISH_TIMEOUT_MS, () => {})
--- a/packages/core/src/common/dispatch/retryBudget.ts
+++ b/packages/core/src/common/dispatch/retryBudget.ts
@@ -6,7 +6,7 @@
 
 /** A bucket that first attempts fill and retries empty. */
 export interface IRetryBudget {
-  noteFirstAttempt (customer: string): void
+  recordFirstAttempt (customer: string): void
   /** Takes one retry; false when retries have reached their share. */
   tryTake (customer: string): boolean
   readonly retryCount: number
@@ -31,7 +31,7 @@
     return this._firstAttemptCount
   }
 
-  noteFirstAttempt (customer: string): void {
+  recordFirstAttempt (customer: string): void {
     this._firstAttemptCount++
     const share = this._settings.retryBudgetShare
     this._nodeCredit = Math.min(BURST_RETRIES, this._nodeCredit + share)
--- a/packages/core/src/common/dispatch/serviceDispatch.ts
+++ b/packages/core/src/common/dispatch/serviceDispatch.ts
@@ -68,7 +68,7 @@
   ) {}
 
   run (job: ServiceJob): IDisposable {
-    this._retryBudget.noteFirstAttempt(job.customer)
+    this._retryBudget.recordFirstAttempt(job.customer)
     const state: ServiceRun = { job, failedWorkers: new Set(this._quarantine.crashedWorkers(job.fingerprint)), attempts: 0, refusals: 0, isOver: false }
     this._attempt(state)
     return {
@@ -139,8 +139,8 @@
 
   private _handleEvent (run: ServiceRun, worker: WorkerInfo, event: BackendEvent): void {
     if (event.type === 'serviceDone') {
-      this._outliers.noteSuccess(worker.worker)
-      this._quarantine.noteSuccess(run.job.fingerprint)
+      this._outliers.recordSuccess(worker.worker)
+      this._quarantine.recordRequestSuccess(run.job.fingerprint)
       this._end(run, { type: 'done', result: event.result })
       return
     }
@@ -148,13 +148,13 @@
     this._logger.warn('serviceCallFailed', { worker: worker.worker, program: run.job.programId, detail: event.detail, untouched: event.isUntouched })
     run.failedWorkers.add(worker.worker)
     if (event.isLeaving) this._membership.markLeaving(worker.worker)
-    else this._outliers.noteFailure(worker.worker)
+    else this._outliers.recordFailure(worker.worker)
     if (event.isUntouched) {
       run.attempts--
       this._retryUntouched(run, event.detail)
       return
     }
-    if (event.isConnectionLost && !event.isLeaving) this._quarantine.noteCrash(run.job.fingerprint, worker.worker)
+    if (event.isConnectionLost && !event.isLeaving) this._quarantine.recordCrash(run.job.fingerprint, worker.worker)
     this._handleTouched(run, event.detail)
   }
 
--- a/packages/core/src/common/drain/drain.ts
+++ b/packages/core/src/common/drain/drain.ts
@@ -13,7 +13,7 @@
 import { cloneProgram } from '../journal/journalFold.js'
 import { IMembership, type PeerInfo } from '../membership/membership.js'
 import { IPeers } from '../peers/peers.js'
-import { ILeadTable } from '../placement/leadTable.js'
+import { ICoordinatorTable } from '../placement/leadTable.js'
 import type { LiveProgram } from '../programs/liveProgram.js'
 import { IProgramRouting } from '../programs/programRouting.js'
 import { IProgramTable } from '../programs/programTable.js'
@@ -55,7 +55,7 @@
     @inject(ICallers) private readonly _callers: ICallers,
     @inject(IPeers) private readonly _peers: IPeers,
     @inject(IMembership) private readonly _membership: IMembership,
-    @inject(ILeadTable) private readonly _leadTable: ILeadTable,
+    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IJournal) private readonly _journal: IJournal,
     @inject(IProgramTable) private readonly _programs: IProgramTable,
@@ -108,7 +108,7 @@
   /** The lead of the worker that caches the program, or any live node. */
   private _targetOf (tree: Tree): PeerInfo | undefined {
     const worker = tree.members.flatMap(member => member.state.workers.map(entry => entry.worker)).at(0)
-    const lead = worker === undefined ? undefined : this._leadTable.leadOf(worker)
+    const lead = worker === undefined ? undefined : this._leadTable.coordinatorOf(worker)
     if (lead !== undefined && lead.node !== this._identity.node) return lead
     const others = this._membership.liveNodes().filter(peer => peer.node !== this._identity.node)
     return resolveOwner(tree.root, others, peer => peer.node)
@@ -144,7 +144,7 @@
       this._peers.request(target, { type: 'handoverDone', journal: journal.stream, programIds }, DONE_TIMEOUT_MS, () => {
         this._logger.info('programsHandedOver', { to: home.node, programs: programIds.length })
         for (const programId of programIds) {
-          this._routing.noteMoved(programId, home)
+          this._routing.recordNewOwner(programId, home)
           this._programs.remove(programId)
         }
       })
--- a/packages/core/src/common/engines/engineMemory.ts
+++ b/packages/core/src/common/engines/engineMemory.ts
@@ -11,8 +11,8 @@
 import { IMembership, type PeerInfo } from '../membership/membership.js'
 import type { WorkerInfo } from '../membership/workerDirectory.js'
 import { IPeers } from '../peers/peers.js'
-import { ILeadTable } from '../placement/leadTable.js'
-import { ILeads } from '../placement/leads.js'
+import { ICoordinatorTable } from '../placement/leadTable.js'
+import { IWorkerCoordinator } from '../placement/leads.js'
 import type { LiveProgram } from '../programs/liveProgram.js'
 import { parseProgramId } from '../programs/programState.js'
 import { IProgramTable } from '../programs/programTable.js'
@@ -40,8 +40,8 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IMembership) private readonly _membership: IMembership,
     @inject(IPeers) private readonly _peers: IPeers,
-    @inject(ILeadTable) private readonly _leadTable: ILeadTable,
-    @inject(ILeads) private readonly _leads: ILeads,
+    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
     @inject(IProgramTable) private readonly _programs: IProgramTable,
     @inject(ITakeover) private readonly _takeover: ITakeover,
     @inject(ILogger) private readonly _logger: ILogger
@@ -63,9 +63,9 @@
   }
 
   private _noteLeft (worker: string, programId: string): void {
-    const lead = this._leadTable.leadOf(worker)
+    const lead = this._leadTable.coordinatorOf(worker)
     if (lead === undefined) return
-    if (lead.node === this._identity.node) this._leads.noteLeft(worker, programId)
+    if (lead.node === this._identity.node) this._leads.removeProgram(worker, programId)
     else this._peers.send(lead, { type: 'residentNotice', worker, programId })
   }
 
@@ -78,7 +78,7 @@
     const engines = (this._configuration.document?.backends ?? []).filter(backend => backend.type === 'modelEngine')
     for (const backend of new Set(engines.map(engine => engine.pool ?? engine.name))) {
       for (const worker of this._membership.workers(backend)) {
-        if (this._leadTable.isLead(worker.worker)) this._pollWorker(worker)
+        if (this._leadTable.isCoordinator(worker.worker)) this._pollWorker(worker)
       }
     }
   }
@@ -141,7 +141,7 @@
     if (origin === undefined) return undefined
     const home = { node: origin.node, incarnation: origin.incarnation, address: '' }
     if (this._membership.isAlive(home)) return this._membership.findNode(origin.node)
-    return this._membership.findNode(this._takeover.resolveAdopter(journalOf(origin)) ?? '')
+    return this._membership.findNode(this._takeover.resolveNewOwner(journalOf(origin)) ?? '')
   }
 
   private _ask (worker: WorkerInfo, nodeName: string, sessions: string[]): void {
--- a/packages/core/src/common/engines/engineOrders.ts
+++ b/packages/core/src/common/engines/engineOrders.ts
@@ -12,8 +12,8 @@
 import type { WorkerInfo } from '../membership/workerDirectory.js'
 import type { WorkerDemand } from '../peers/messages.js'
 import { IPeers } from '../peers/peers.js'
-import { ILeads } from '../placement/leads.js'
-import { ILeadTable } from '../placement/leadTable.js'
+import { IWorkerCoordinator } from '../placement/leads.js'
+import { ICoordinatorTable } from '../placement/leadTable.js'
 import { IModelPools } from './modelPools.js'
 import { chooseMove, type ModelLoad } from './poolBalance.js'
 
@@ -49,8 +49,8 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IMembership) private readonly _membership: IMembership,
     @inject(IPeers) private readonly _peers: IPeers,
-    @inject(ILeadTable) private readonly _leadTable: ILeadTable,
-    @inject(ILeads) private readonly _leads: ILeads,
+    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
     @inject(IModelPools) private readonly _pools: IModelPools,
     @inject(ILogger) private readonly _logger: ILogger
   ) {}
@@ -58,7 +58,7 @@
   start (): void {
     this._peers.handle('demandRequest', (body, _from, respond) => respond({ type: 'demandAnswer', workers: this._ownDemand(body.pool) }))
     this._configuration.onDidFold(({ record }) => {
-      if (record.type === 'engineOrdered') this._leads.pause(record.worker)
+      if (record.type === 'engineOrdered') this._leads.pauseWorker(record.worker)
     })
     this._timers.every(this._settings.enginePollMs, () => this._checkLedWorkers())
     this._timers.every(BALANCE_PERIOD_MS, () => this._balance())
@@ -70,7 +70,7 @@
     if (this._membership.isDraining) return
     for (const pool of this._pools.pools()) {
       for (const worker of this._membership.workers(pool)) {
-        if (this._leadTable.isLead(worker.worker) && !this._underWay.has(worker.worker)) this._check(worker)
+        if (this._leadTable.isCoordinator(worker.worker) && !this._underWay.has(worker.worker)) this._check(worker)
       }
     }
   }
@@ -82,10 +82,10 @@
       if (wanted === undefined) return
       if (event.status.model === wanted.name) {
         this._sent.delete(worker.worker)
-        this._leads.resume(worker.worker)
+        this._leads.resumeWorker(worker.worker)
         return
       }
-      this._leads.pause(worker.worker)
+      this._leads.pauseWorker(worker.worker)
       this._order(worker, wanted.name, wanted.checksFencing ? 0 : wanted.orderLifetimeMs)
     })
   }
@@ -138,7 +138,7 @@
   }
 
   private _collectDemand (pool: string, onCollected: (demands: WorkerDemand[]) => void): void {
-    const leads = new Set(this._membership.workers(pool).flatMap(worker => this._leadTable.leadOf(worker.worker)?.node ?? []))
+    const leads = new Set(this._membership.workers(pool).flatMap(worker => this._leadTable.coordinatorOf(worker.worker)?.node ?? []))
     const demands = this._ownDemand(pool)
     leads.delete(this._identity.node)
     let missing = leads.size
@@ -162,7 +162,7 @@
 
   private _ownDemand (pool: string): WorkerDemand[] {
     return this._membership.workers(pool)
-      .filter(worker => this._leadTable.isLead(worker.worker))
+      .filter(worker => this._leadTable.isCoordinator(worker.worker))
       .map(worker => ({ worker: worker.worker, demand: this._leads.demandOf(worker.worker) }))
   }
 
--- a/packages/core/src/common/forwarding/attemptOutcome.ts
+++ b/packages/core/src/common/forwarding/attemptOutcome.ts
@@ -2,7 +2,7 @@
 import type { Route } from '../routing/routeDocument.js'
 import { RouteKind } from '../routing/routeDocument.js'
 
-export const AttemptFate = {
+export const AttemptOutcome = {
   /** No byte of the request left this node. */
   NotSent: 'notSent',
   /** The worker said that it did not run the request. */
@@ -10,7 +10,7 @@
   /** The request was sent and its fate is not known. */
   Unknown: 'unknown'
 } as const
-export type AttemptFate = typeof AttemptFate[keyof typeof AttemptFate]
+export type AttemptOutcome = typeof AttemptOutcome[keyof typeof AttemptOutcome]
 
 /** Connections that may fail before the first byte is sent, until the request is refused. */
 const MAX_UNSENT_ATTEMPTS = 3
@@ -50,13 +50,13 @@
  * @example
  * resolveNextStep(AttemptFate.Unknown, history) // { type: 'unknown' } for a request that must not be repeated
  */
-export function resolveNextStep (fate: AttemptFate, history: AttemptHistory): NextStep {
+export function resolveNextStep (fate: AttemptOutcome, history: AttemptHistory): NextStep {
   const { route, sentCount, unsentCount, mayHaveRun, hasAnswerBegun, timeLeftMs } = history
   const isTimeLeft = timeLeftMs > MIN_ATTEMPT_MS
   const maySendAgain = isTimeLeft && sentCount < route.maxAttempts
   const again: NextStep = hasAnswerBegun ? { type: 'resume' } : { type: 'again' }
   const end: NextStep = mayHaveRun ? { type: 'unknown' } : { type: 'notRun' }
-  if (fate === AttemptFate.NotSent) return maySendAgain && unsentCount < MAX_UNSENT_ATTEMPTS ? again : end
-  if (fate === AttemptFate.Refused) return maySendAgain ? again : end
+  if (fate === AttemptOutcome.NotSent) return maySendAgain && unsentCount < MAX_UNSENT_ATTEMPTS ? again : end
+  if (fate === AttemptOutcome.Refused) return maySendAgain ? again : end
   return maySendAgain && isRepeatable(route) ? again : { type: 'unknown' }
 }
--- a/packages/core/src/common/journal/journalReader.ts
+++ b/packages/core/src/common/journal/journalReader.ts
@@ -59,6 +59,6 @@
 }
 
 /** The node that a journal names as a program's new home, if it names one. */
-export function adopterOf (state: JournalState, programId: string): NodeRef | undefined {
+export function newOwnerOf (state: JournalState, programId: string): NodeRef | undefined {
   return state.adoptions.get(programId)
 }
--- a/packages/core/src/common/journal/journalRecords.ts
+++ b/packages/core/src/common/journal/journalRecords.ts
@@ -35,7 +35,7 @@
 }
 
 /** Announces that a non-repeatable step will be sent. */
-export interface StepClaimed extends LogRecord {
+export interface StepIntent extends LogRecord {
   type: 'stepClaimed'
   programId: string
   step: number
@@ -46,12 +46,12 @@
 }
 
 /** The claim was given up before anything was sent. */
-export interface ClaimWithdrawn extends LogRecord { type: 'claimWithdrawn', programId: string, step: number, attempt: number }
+export interface IntentWithdrawn extends LogRecord { type: 'claimWithdrawn', programId: string, step: number, attempt: number }
 export interface TokensReserved extends LogRecord { type: 'tokensReserved', programId: string, tokens: number }
 export interface ProgramClosed extends LogRecord { type: 'programClosed', programId: string, reason: string }
 /** Ends the journal's authority: claims, turns and adoptions behind the first fence are void. */
 export interface Fenced extends LogRecord { type: 'fenced', by: NodeRef }
 /** Names the new home of programs; the first record for a program counts. */
-export interface Adopted extends LogRecord { type: 'adopted', programIds: string[], to: NodeRef }
+export interface OwnershipTransferred extends LogRecord { type: 'adopted', programIds: string[], to: NodeRef }
 
-export type JournalRecord = ProgramSnapshot | TurnCompleted | StepClaimed | ClaimWithdrawn | TokensReserved | ProgramClosed | Fenced | Adopted
+export type JournalRecord = ProgramSnapshot | TurnCompleted | StepIntent | IntentWithdrawn | TokensReserved | ProgramClosed | Fenced | OwnershipTransferred
--- a/packages/core/src/common/kernel/kernel.ts
+++ b/packages/core/src/common/kernel/kernel.ts
@@ -7,7 +7,7 @@
 import { IMembership } from '../membership/membership.js'
 import { IProgramTable } from '../programs/programTable.js'
 import { IRetryBudget } from '../dispatch/retryBudget.js'
-import { ISlots } from '../placement/slots.js'
+import { ISlotRequester } from '../placement/slots.js'
 import { BackendPort, IBackends } from './backendPort.js'
 import { CallerPort, ICallers } from './callerPort.js'
 import { IClock, KernelClock } from './clock.js'
@@ -103,7 +103,7 @@
       isDraining: membership.isDraining,
       programs: this._container.resolve<IProgramTable>(IProgramTable).size,
       openRequests: this._callers.openCount,
-      heldSlots: this._container.resolve<ISlots>(ISlots).heldCount,
+      heldSlots: this._container.resolve<ISlotRequester>(ISlotRequester).heldCount,
       journalBacklog: journal.backlog,
       journalAppends: journal.appendCount,
       isLogHealthy: journal.isHealthy,
--- a/packages/core/src/common/peers/messages.ts
+++ b/packages/core/src/common/peers/messages.ts
@@ -33,14 +33,14 @@
 export interface ProbeReply { type: 'probeReply', digest: NodeDigest }
 
 /** Asks the lead of a worker what a new program would meet there. */
-export interface OfferRequest {
+export interface PlacementEstimateRequest {
   type: 'offerRequest'
   worker: string
   rank: string
   customer: string
   kind: string
 }
-export interface Offer {
+export interface PlacementEstimate {
   type: 'offer'
   worker: string
   /** False when the asked node does not lead the worker or the worker is gone. */
@@ -95,7 +95,7 @@
 }
 
 /** Tells a lead that a program no longer uses its worker. */
-export interface ResidentNotice {
+export interface ProgramLeftNotice {
   type: 'residentNotice'
   worker: string
   programId: string
@@ -123,7 +123,7 @@
 /** The journal of the old home names the new one: it may serve now. */
 export interface HandoverDone { type: 'handoverDone', journal: string, programIds: string[] }
 
-export type PeerMessage = Probe | ProbeReply | OfferRequest | Offer | SlotRequest | SlotGrant | SlotRefusal | SlotRelease |
-  ResidentNotice | DemandRequest | DemandAnswer | HeldQuery | HeldAnswer | ConfigurationRequest | ConfigurationCopy | HandoverOffer | HandoverAnswer | HandoverDone
+export type PeerMessage = Probe | ProbeReply | PlacementEstimateRequest | PlacementEstimate | SlotRequest | SlotGrant | SlotRefusal | SlotRelease |
+  ProgramLeftNotice | DemandRequest | DemandAnswer | HeldQuery | HeldAnswer | ConfigurationRequest | ConfigurationCopy | HandoverOffer | HandoverAnswer | HandoverDone
 
 export type PeerMessageOf<K extends PeerMessage['type']> = Extract<PeerMessage, { type: K }>
--- a/packages/core/src/common/placement/leadTable.ts
+++ b/packages/core/src/common/placement/leadTable.ts
@@ -5,16 +5,16 @@
 import { IMembership, type PeerInfo } from '../membership/membership.js'
 
 /** Names the lead of each worker. Two nodes may disagree for moments; that costs balance, never safety. */
-export interface ILeadTable {
-  leadOf (worker: string): PeerInfo | undefined
-  isLead (worker: string): boolean
+export interface ICoordinatorTable {
+  coordinatorOf (worker: string): PeerInfo | undefined
+  isCoordinator (worker: string): boolean
   /** Workers of a back end that this node leads. */
-  ledWorkers (backend: string): string[]
+  coordinatedWorkers (backend: string): string[]
 }
-export const ILeadTable = Symbol('ILeadTable')
+export const ICoordinatorTable = Symbol('ILeadTable')
 
 @injectable()
-export class LeadTable implements ILeadTable {
+export class CoordinatorTable implements ICoordinatorTable {
   private _leads = new Map<string, PeerInfo | undefined>()
   private _nodesByZone: Map<string, PeerInfo[]> | undefined
 
@@ -28,7 +28,7 @@
     })
   }
 
-  leadOf (worker: string): PeerInfo | undefined {
+  coordinatorOf (worker: string): PeerInfo | undefined {
     if (this._leads.has(worker)) return this._leads.get(worker)
     const info = this._membership.findWorker(worker)
     if (info === undefined) return undefined
@@ -39,12 +39,12 @@
     return lead
   }
 
-  isLead (worker: string): boolean {
-    return this.leadOf(worker)?.node === this._identity.node
+  isCoordinator (worker: string): boolean {
+    return this.coordinatorOf(worker)?.node === this._identity.node
   }
 
-  ledWorkers (backend: string): string[] {
-    return this._membership.workers(backend).map(info => info.worker).filter(worker => this.isLead(worker))
+  coordinatedWorkers (backend: string): string[] {
+    return this._membership.workers(backend).map(info => info.worker).filter(worker => this.isCoordinator(worker))
   }
 
   private _nodesOf (zone: string): PeerInfo[] {
--- a/packages/core/src/common/placement/leads.ts
+++ b/packages/core/src/common/placement/leads.ts
@@ -9,11 +9,11 @@
 import { Rank } from '../configuration/document.js'
 import { IModelPools } from '../engines/modelPools.js'
 import { IMembership } from '../membership/membership.js'
-import type { Offer, SlotReport, SlotRequest } from '../peers/messages.js'
+import type { PlacementEstimate, SlotReport, SlotRequest } from '../peers/messages.js'
 import { IPeers } from '../peers/peers.js'
 import { createAdmissionPolicy, type IAdmissionPolicy } from './admission.js'
-import { ILeadTable } from './leadTable.js'
-import { KindProfiles, Residents } from './residents.js'
+import { ICoordinatorTable } from './leadTable.js'
+import { KindProfiles, ActivePrograms } from './residents.js'
 import { type QueueItem, type RankShares, WorkerQueue } from './workerQueue.js'
 
 const SWEEP_MS = 1_000
@@ -29,29 +29,29 @@
 export type SlotAnswer = { type: 'granted' } | { type: 'refused', reason: 'notLead' | 'workerGone' | 'deadline' | 'overloaded', retryAfterMs: number }
 
 /** Orders the steps that want a worker. */
-export interface ILeads {
+export interface IWorkerCoordinator {
   /** Puts a step in the worker's queue; asking again with the same ticket replaces who is told. */
-  request (request: SlotRequest, home: string, onAnswer: (answer: SlotAnswer) => void): void
-  release (worker: string, ticket: string, report: SlotReport | undefined): void
+  requestSlot (request: SlotRequest, home: string, onAnswer: (answer: SlotAnswer) => void): void
+  releaseSlot (worker: string, ticket: string, report: SlotReport | undefined): void
   /** What a new program would meet at a worker. */
-  createOffer (worker: string, rank: Rank, kind: string): Offer
+  estimatePlacement (worker: string, rank: Rank, kind: string): PlacementEstimate
   /** Admits a program for good, if the worker can carry it. */
   tryAdmit (worker: string, programId: string, rank: Rank, kind: string): boolean
-  noteLeft (worker: string, programId: string): void
+  removeProgram (worker: string, programId: string): void
   /** Expected pause between two engine calls of a kind. */
-  pauseOf (kind: string): number
+  expectedPauseMs (kind: string): number
   queueOf (worker: string): WorkerQueue | undefined
   /** Grants no slot of a worker until `resume`: its engine is about to change its model. */
-  pause (worker: string): void
-  resume (worker: string): void
+  pauseWorker (worker: string): void
+  resumeWorker (worker: string): void
   /** Calls that run or wait at a worker, and programs refused there lately. */
   demandOf (worker: string): number
 }
-export const ILeads = Symbol('ILeads')
+export const IWorkerCoordinator = Symbol('ILeads')
 
-interface LedWorker {
+interface CoordinatedWorker {
   queue: WorkerQueue
-  residents: Residents
+  residents: ActivePrograms
   answers: Map<string, (answer: SlotAnswer) => void>
   isPaused: boolean
   /** Refused openings, decayed by half each sweep. */
@@ -59,8 +59,8 @@
 }
 
 @injectable()
-export class Leads implements ILeads {
-  private readonly _workers = new Map<string, LedWorker>()
+export class WorkerCoordinator implements IWorkerCoordinator {
+  private readonly _workers = new Map<string, CoordinatedWorker>()
   private readonly _profiles = new KindProfiles()
   private readonly _admission: IAdmissionPolicy
 
@@ -72,7 +72,7 @@
     @inject(IRandom) private readonly _random: IRandom,
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IMembership) private readonly _membership: IMembership,
-    @inject(ILeadTable) private readonly _leadTable: ILeadTable,
+    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
     @inject(IPeers) private readonly _peers: IPeers,
     @inject(IModelPools) private readonly _pools: IModelPools
   ) {
@@ -80,25 +80,25 @@
   }
 
   start (): void {
-    this._peers.handle('offerRequest', (body, _from, respond) => respond(this.createOffer(body.worker, body.rank as Rank, body.kind)))
+    this._peers.handle('offerRequest', (body, _from, respond) => respond(this.estimatePlacement(body.worker, body.rank as Rank, body.kind)))
     this._peers.handle('slotRequest', (body, from, respond) => {
-      this.request(body, from.node, answer => {
+      this.requestSlot(body, from.node, answer => {
         if (answer.type === 'granted') respond({ type: 'slotGrant', ticket: body.ticket })
         else respond({ type: 'slotRefusal', ticket: body.ticket, reason: answer.reason, retryAfterMs: answer.retryAfterMs })
       })
     })
-    this._peers.handle('slotRelease', body => this.release(body.worker, body.ticket, body.report))
-    this._peers.handle('residentNotice', body => this.noteLeft(body.worker, body.programId))
+    this._peers.handle('slotRelease', body => this.releaseSlot(body.worker, body.ticket, body.report))
+    this._peers.handle('residentNotice', body => this.removeProgram(body.worker, body.programId))
     this._membership.onDidChange(() => this._dropLost())
     this._timers.every(SWEEP_MS, () => this._sweep())
   }
 
-  request (request: SlotRequest, home: string, onAnswer: (answer: SlotAnswer) => void): void {
+  requestSlot (request: SlotRequest, home: string, onAnswer: (answer: SlotAnswer) => void): void {
     if (this._membership.findWorker(request.worker) === undefined) {
       onAnswer({ type: 'refused', reason: 'workerGone', retryAfterMs: 0 })
       return
     }
-    if (!this._leadTable.isLead(request.worker)) {
+    if (!this._leadTable.isCoordinator(request.worker)) {
       onAnswer({ type: 'refused', reason: 'notLead', retryAfterMs: 0 })
       return
     }
@@ -121,7 +121,7 @@
     this._pump(led)
   }
 
-  release (worker: string, ticket: string, report: SlotReport | undefined): void {
+  releaseSlot (worker: string, ticket: string, report: SlotReport | undefined): void {
     const led = this._workers.get(worker)
     if (led === undefined) return
     led.answers.delete(ticket)
@@ -130,8 +130,8 @@
     this._pump(led)
   }
 
-  createOffer (worker: string, rank: Rank, kind: string): Offer {
-    const isUsable = this._membership.findWorker(worker) !== undefined && this._leadTable.isLead(worker)
+  estimatePlacement (worker: string, rank: Rank, kind: string): PlacementEstimate {
+    const isUsable = this._membership.findWorker(worker) !== undefined && this._leadTable.isCoordinator(worker)
     if (!isUsable) return { type: 'offer', worker, isUsable, isAdmitted: false, expectedWaitMs: 0, load: 0, retryAfterMs: MIN_RETRY_AFTER_MS }
     const led = this._resolveWorker(worker)
     const isAdmitted = !led.isPaused && this._isAdmitted(led, rank, kind)
@@ -155,11 +155,11 @@
     return true
   }
 
-  noteLeft (worker: string, programId: string): void {
+  removeProgram (worker: string, programId: string): void {
     this._workers.get(worker)?.residents.noteLeft(programId)
   }
 
-  pauseOf (kind: string): number {
+  expectedPauseMs (kind: string): number {
     return this._profiles.pauseOf(kind)
   }
 
@@ -167,7 +167,7 @@
     return this._workers.get(worker)?.queue
   }
 
-  pause (worker: string): void {
+  pauseWorker (worker: string): void {
     const led = this._workers.get(worker)
     if (led === undefined || led.isPaused) return
     led.isPaused = true
@@ -176,7 +176,7 @@
     }
   }
 
-  resume (worker: string): void {
+  resumeWorker (worker: string): void {
     const led = this._workers.get(worker)
     if (led === undefined || !led.isPaused) return
     led.isPaused = false
@@ -188,12 +188,12 @@
     return led === undefined ? 0 : led.queue.inFlightCount + led.queue.waitingCount + led.refusals
   }
 
-  private _isAdmitted (led: LedWorker, rank: Rank, kind: string): boolean {
+  private _isAdmitted (led: CoordinatedWorker, rank: Rank, kind: string): boolean {
     const targetMs = this._configuration.findKind(kind)?.targetMs ?? 0
     return this._admission.isAdmitted({ rank, kind, targetMs, limit: led.queue.limitOf(rank), fullLimit: led.queue.limitOf(Rank.Urgent), floors: this._floors(), residents: led.residents, profiles: this._profiles })
   }
 
-  private _retryAfterMs (led: LedWorker): number {
+  private _retryAfterMs (led: CoordinatedWorker): number {
     const spread = 0.5 + this._random.next()
     const waitMs = led.queue.serviceMs * (1 + led.queue.waitingCount / led.queue.limitOf(Rank.Urgent)) * spread
     return Math.round(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, waitMs)))
@@ -209,7 +209,7 @@
     return (info === undefined ? undefined : this._pools.backendOf(info))?.maxConcurrencyPerWorker ?? DEFAULT_MAX_CONCURRENCY
   }
 
-  private _resolveWorker (worker: string): LedWorker {
+  private _resolveWorker (worker: string): CoordinatedWorker {
     let led = this._workers.get(worker)
     if (led === undefined) {
       const queue = new WorkerQueue({
@@ -219,14 +219,14 @@
         weightOf: customer => this._configuration.findCustomer(customer)?.weight ?? 1,
         maxConcurrency: () => this._maxConcurrency(worker)
       })
-      led = { queue, residents: new Residents(this._profiles), answers: new Map(), isPaused: false, refusals: 0 }
+      led = { queue, residents: new ActivePrograms(this._profiles), answers: new Map(), isPaused: false, refusals: 0 }
       this._workers.set(worker, led)
     }
     return led
   }
 
   /** Grants slots while there are any. */
-  private _pump (led: LedWorker): void {
+  private _pump (led: CoordinatedWorker): void {
     while (!led.isPaused) {
       const item = led.queue.takeNext(this._clock.nowMs())
       if (item === undefined) return
@@ -234,13 +234,13 @@
     }
   }
 
-  private _answer (led: LedWorker, item: QueueItem, answer: SlotAnswer): void {
+  private _answer (led: CoordinatedWorker, item: QueueItem, answer: SlotAnswer): void {
     const onAnswer = led.answers.get(item.ticket)
     led.answers.delete(item.ticket)
     onAnswer?.(answer)
   }
 
-  private _refuse (led: LedWorker, item: QueueItem, reason: 'notLead' | 'workerGone' | 'deadline'): void {
+  private _refuse (led: CoordinatedWorker, item: QueueItem, reason: 'notLead' | 'workerGone' | 'deadline'): void {
     led.queue.remove(item.ticket)
     this._answer(led, item, { type: 'refused', reason, retryAfterMs: this._retryAfterMs(led) })
   }
@@ -249,7 +249,7 @@
   private _dropLost (): void {
     for (const [worker, led] of [...this._workers]) {
       const isGone = this._membership.findWorker(worker) === undefined
-      if (!isGone && this._leadTable.isLead(worker)) {
+      if (!isGone && this._leadTable.isCoordinator(worker)) {
         this._dropDeadHomes(led)
         continue
       }
@@ -261,7 +261,7 @@
   }
 
   /** Frees the slots of homes that died. */
-  private _dropDeadHomes (led: LedWorker): void {
+  private _dropDeadHomes (led: CoordinatedWorker): void {
     for (const item of led.queue.items()) {
       if (item.home === this._identity.node) continue
       const peer = this._membership.findNode(item.home)
--- a/packages/core/src/common/placement/placement.contribution.ts
+++ b/packages/core/src/common/placement/placement.contribution.ts
@@ -1,22 +1,22 @@
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
-import { ILeads, Leads } from './leads.js'
-import { ILeadTable, LeadTable } from './leadTable.js'
+import { IWorkerCoordinator, WorkerCoordinator } from './leads.js'
+import { ICoordinatorTable, CoordinatorTable } from './leadTable.js'
 import { IPlacement, Placement } from './placement.js'
-import { ISlots, Slots } from './slots.js'
+import { ISlotRequester, SlotRequester } from './slots.js'
 
 registerPlugin({
   name: 'placement',
   register (container) {
-    container.registerSingleton(ILeadTable, LeadTable)
-    container.registerSingleton(Leads)
-    container.register(ILeads, { useToken: Leads })
-    container.registerSingleton(Slots)
-    container.register(ISlots, { useToken: Slots })
+    container.registerSingleton(ICoordinatorTable, CoordinatorTable)
+    container.registerSingleton(WorkerCoordinator)
+    container.register(IWorkerCoordinator, { useToken: WorkerCoordinator })
+    container.registerSingleton(SlotRequester)
+    container.register(ISlotRequester, { useToken: SlotRequester })
     container.registerSingleton(IPlacement, Placement)
   },
   create (container): IPlugin {
-    const leads = container.resolve(Leads)
-    const slots = container.resolve(Slots)
+    const leads = container.resolve(WorkerCoordinator)
+    const slots = container.resolve(SlotRequester)
     return {
       start () {
         leads.start()
--- a/packages/core/src/common/placement/placement.ts
+++ b/packages/core/src/common/placement/placement.ts
@@ -7,12 +7,12 @@
 import { IModelPools } from '../engines/modelPools.js'
 import { IMembership } from '../membership/membership.js'
 import type { WorkerInfo } from '../membership/workerDirectory.js'
-import type { Offer } from '../peers/messages.js'
+import type { PlacementEstimate } from '../peers/messages.js'
 import { IPeers } from '../peers/peers.js'
 import { IOutliers } from '../dispatch/outliers.js'
 import { prefillMs, transferMs } from './cacheMove.js'
-import { ILeads } from './leads.js'
-import { ILeadTable } from './leadTable.js'
+import { IWorkerCoordinator } from './leads.js'
+import { ICoordinatorTable } from './leadTable.js'
 
 /** Wait that must be saved beyond the prefill before a program leaves its cache. */
 const MOVE_MARGIN_MS = 1_000
@@ -36,7 +36,7 @@
   /** Chooses the worker for one step; undefined when none is available. */
   chooseWorker (query: WorkerQuery, onChosen: (worker: string | undefined) => void): void
   /** Asks several leads what a new program would meet; best offers first. */
-  collectOffers (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffers: (offers: Offer[]) => void): void
+  collectEstimates (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffers: (offers: PlacementEstimate[]) => void): void
 }
 export const IPlacement = Symbol('IPlacement')
 
@@ -49,8 +49,8 @@
     @inject(CoreSettings) private readonly _settings: CoreSettings,
     @inject(IRandom) private readonly _random: IRandom,
     @inject(IMembership) private readonly _membership: IMembership,
-    @inject(ILeadTable) private readonly _leadTable: ILeadTable,
-    @inject(ILeads) private readonly _leads: ILeads,
+    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
     @inject(IPeers) private readonly _peers: IPeers,
     @inject(IOutliers) private readonly _outliers: IOutliers,
     @inject(IModelPools) private readonly _pools: IModelPools
@@ -69,12 +69,12 @@
       onChosen(cached)
       return
     }
-    this.collectOffers(query, offers => onChosen(this._best(offers, cached, query)))
+    this.collectEstimates(query, offers => onChosen(this._best(offers, cached, query)))
   }
 
-  collectOffers (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffers: (offers: Offer[]) => void): void {
+  collectEstimates (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffers: (offers: PlacementEstimate[]) => void): void {
     const sample = this._sample(query)
-    const offers: Offer[] = []
+    const offers: PlacementEstimate[] = []
     let missing = sample.length
     if (missing === 0) onOffers([])
     for (const worker of sample) {
@@ -86,12 +86,12 @@
     }
   }
 
-  private _ask (worker: string, query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffer: (offer: Offer | undefined) => void): void {
-    const lead = this._leadTable.leadOf(worker)
+  private _ask (worker: string, query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffer: (offer: PlacementEstimate | undefined) => void): void {
+    const lead = this._leadTable.coordinatorOf(worker)
     if (lead === undefined) {
       onOffer(undefined)
     } else if (lead.node === this._identity.node) {
-      onOffer(this._leads.createOffer(worker, query.rank, query.kind))
+      onOffer(this._leads.estimatePlacement(worker, query.rank, query.kind))
     } else {
       const { rank, customer, kind } = query
       this._peers.request(lead, { type: 'offerRequest', worker, rank, customer, kind }, this._settings.offerTimeoutMs, answer => {
@@ -132,12 +132,12 @@
 
   /** Only the lead knows the wait, so a step whose lead is elsewhere stays with its cache. */
   private _isWorthLeaving (cached: string, query: WorkerQuery): boolean {
-    const queue = this._leadTable.isLead(cached) ? this._leads.queueOf(cached) : undefined
+    const queue = this._leadTable.isCoordinator(cached) ? this._leads.queueOf(cached) : undefined
     if (queue === undefined) return false
     return queue.expectedWaitMs(query.rank) * MOVE_WAIT_SHARE > moveMs(query.promptTokens) + MOVE_MARGIN_MS
   }
 
-  private _best (offers: Offer[], cached: string | undefined, query: WorkerQuery): string | undefined {
+  private _best (offers: PlacementEstimate[], cached: string | undefined, query: WorkerQuery): string | undefined {
     const best = offers.at(0)
     if (best === undefined || best.worker === cached) return cached ?? this._nextInTurn({ ...query, cachedWorker: undefined })
     const isAffinity = cached !== undefined && this._settings.placementPolicy === PlacementPolicy.Affinity
@@ -153,7 +153,7 @@
   return Math.min(transferMs(tokens), prefillMs(tokens))
 }
 
-function compareOffers (left: Offer, right: Offer): number {
+function compareOffers (left: PlacementEstimate, right: PlacementEstimate): number {
   if (left.isAdmitted !== right.isAdmitted) return left.isAdmitted ? -1 : 1
   if (left.expectedWaitMs !== right.expectedWaitMs) return left.expectedWaitMs - right.expectedWaitMs
   return left.load - right.load
--- a/packages/core/src/common/placement/residents.ts
+++ b/packages/core/src/common/placement/residents.ts
@@ -52,7 +52,7 @@
   }
 }
 
-interface Resident {
+interface ActiveProgram {
   kind: string
   rank: Rank
   lastSeenMs: number
@@ -61,8 +61,8 @@
   workMs: number
 }
 
-export class Residents {
-  private readonly _residents = new Map<string, Resident>()
+export class ActivePrograms {
+  private readonly _residents = new Map<string, ActiveProgram>()
 
   constructor (private readonly _profiles: KindProfiles) {}
 
--- a/packages/core/src/common/placement/slots.ts
+++ b/packages/core/src/common/placement/slots.ts
@@ -8,8 +8,8 @@
 import { IMembership } from '../membership/membership.js'
 import type { SlotReport, SlotRequest } from '../peers/messages.js'
 import { IPeers } from '../peers/peers.js'
-import { ILeads, type SlotAnswer } from './leads.js'
-import { ILeadTable } from './leadTable.js'
+import { IWorkerCoordinator, type SlotAnswer } from './leads.js'
+import { ICoordinatorTable } from './leadTable.js'
 
 /** A waiting step is announced again after this time, in case a message was lost. */
 const REFRESH_MS = 2_000
@@ -38,12 +38,12 @@
 }
 
 /** Acquires slots. */
-export interface ISlots {
+export interface ISlotRequester {
   /** Queues at the worker's lead and follows the lead if it moves; `onOutcome` is called once unless released before. */
   acquire (query: SlotQuery, onOutcome: (outcome: SlotOutcome) => void): Slot
   readonly heldCount: number
 }
-export const ISlots = Symbol('ISlots')
+export const ISlotRequester = Symbol('ISlots')
 
 interface Ticket {
   request: SlotRequest
@@ -54,7 +54,7 @@
 }
 
 @injectable()
-export class Slots implements ISlots {
+export class SlotRequester implements ISlotRequester {
   private readonly _tickets = new Map<string, Ticket>()
 
   constructor (
@@ -63,8 +63,8 @@
     @inject(IClock) private readonly _clock: IClock,
     @inject(ITimers) private readonly _timers: ITimers,
     @inject(IMembership) private readonly _membership: IMembership,
-    @inject(ILeadTable) private readonly _leadTable: ILeadTable,
-    @inject(ILeads) private readonly _leads: ILeads,
+    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
     @inject(IPeers) private readonly _peers: IPeers
   ) {}
 
@@ -87,12 +87,12 @@
 
   private _ask (ticket: Ticket): void {
     if (ticket.isOver) return
-    const lead = this._leadTable.leadOf(ticket.request.worker)
+    const lead = this._leadTable.coordinatorOf(ticket.request.worker)
     ticket.lead = lead?.node
     if (lead === undefined) {
       this._handleAnswer(ticket, { type: 'refused', reason: 'workerGone', retryAfterMs: 0 })
     } else if (lead.node === this._identity.node) {
-      this._leads.request(ticket.request, this._identity.node, answer => this._handleAnswer(ticket, answer))
+      this._leads.requestSlot(ticket.request, this._identity.node, answer => this._handleAnswer(ticket, answer))
     } else {
       this._peers.request(lead, ticket.request, REFRESH_MS, answer => {
         if (answer.type === 'failed') this._askLater(ticket, answer.isUnreachable ? LEAD_RETRY_MS : 0)
@@ -133,7 +133,7 @@
     this._end(ticket)
     const { worker, ticket: ticketId } = ticket.request
     if (ticket.lead === this._identity.node) {
-      this._leads.release(worker, ticketId, report)
+      this._leads.releaseSlot(worker, ticketId, report)
       return
     }
     const lead = this._membership.findNode(ticket.lead ?? '')
@@ -148,7 +148,7 @@
   /** After a change of membership: tells new leads of the slots in use, and queues waiting steps there. */
   private _followLeads (): void {
     for (const ticket of [...this._tickets.values()]) {
-      const lead = this._leadTable.leadOf(ticket.request.worker)
+      const lead = this._leadTable.coordinatorOf(ticket.request.worker)
       if (lead?.node === ticket.lead) continue
       if (ticket.isGranted) this._announceHeld(ticket, lead?.node)
       else this._ask(ticket)
@@ -160,7 +160,7 @@
     const lead = this._membership.findNode(leadName ?? '')
     if (lead === undefined) return
     const request = { ...ticket.request, isHeld: true }
-    if (lead.node === this._identity.node) this._leads.request(request, this._identity.node, () => {})
+    if (lead.node === this._identity.node) this._leads.requestSlot(request, this._identity.node, () => {})
     else this._peers.send(lead, request)
   }
 }
--- a/packages/core/src/common/programs/budget.ts
+++ b/packages/core/src/common/programs/budget.ts
@@ -71,7 +71,7 @@
 }
 
 /** Counts a finished step. */
-export function settleSpending (root: LiveProgram, call: StepCall, spentTokens: number): void {
+export function recordSpending (root: LiveProgram, call: StepCall, spentTokens: number): void {
   root.state.spent.steps++
   root.state.spent.tokens += spentTokens
   if (call.type === 'service') root.state.spent.toolCalls++
--- a/packages/core/src/common/programs/modelSteps.ts
+++ b/packages/core/src/common/programs/modelSteps.ts
@@ -7,7 +7,7 @@
 import { IConfiguration } from '../configuration/configuration.js'
 import type { Rank } from '../configuration/document.js'
 import { IModelDispatch, type ModelOutcome } from '../dispatch/modelDispatch.js'
-import { ILeads } from '../placement/leads.js'
+import { IWorkerCoordinator } from '../placement/leads.js'
 import { tokensLeft } from './budget.js'
 import { toConversation } from './conversation.js'
 import { appendWithin } from './durability.js'
@@ -27,7 +27,7 @@
     @inject(ICallers) private readonly _callers: ICallers,
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IModelDispatch) private readonly _models: IModelDispatch,
-    @inject(ILeads) private readonly _leads: ILeads,
+    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
     @inject(StepEnding) private readonly _ending: StepEnding
   ) {}
 
@@ -67,7 +67,7 @@
       deadlineMs,
       fingerprint: fingerprintOf(program, running.callDigest),
       cachedWorker: cachedWorkerOf(state, model),
-      retainMs: this._leads.pauseOf(state.kind) * RETAIN_PAUSES,
+      retainMs: this._leads.expectedPauseMs(state.kind) * RETAIN_PAUSES,
       onChunk: (text, tokens) => this._handleChunk(running, text, tokens),
       onWillRetry: (maxTokens, proceed) => {
         chargedBefore += reservation.maxTokens
@@ -126,7 +126,7 @@
       waitMs: this._settings.turnDurabilityWaitMs,
       onSettled: durability => {
         if (durability === 'fenced') {
-          this._ending.end(started, this._ending.unknown(started, Reason.HomeMoved, 'the program has a new home'))
+          this._ending.end(started, this._ending.unknown(started, Reason.OwnerMoved, 'the program has a new home'))
           return
         }
         if (durability === 'durable') program.state.reservedTokens = needed
--- a/packages/core/src/common/programs/programClosing.ts
+++ b/packages/core/src/common/programs/programClosing.ts
@@ -41,6 +41,6 @@
     program.closedAtMs = this._clock.nowMs()
     program.journal.append({ type: 'programClosed', programId: program.state.programId, reason }, () => {})
     this._logger.info('programClosed', { program: program.state.programId, reason, steps: program.state.turns.length })
-    this._programs.noteClosed(program)
+    this._programs.recordClosed(program)
   }
 }
--- a/packages/core/src/common/programs/programOpening.ts
+++ b/packages/core/src/common/programs/programOpening.ts
@@ -10,9 +10,9 @@
 import type { WorkKind } from '../configuration/document.js'
 import { IJournal } from '../journal/journal.js'
 import { IMembership } from '../membership/membership.js'
-import type { Offer } from '../peers/messages.js'
-import { ILeadTable } from '../placement/leadTable.js'
-import { ILeads } from '../placement/leads.js'
+import type { PlacementEstimate } from '../peers/messages.js'
+import { ICoordinatorTable } from '../placement/leadTable.js'
+import { IWorkerCoordinator } from '../placement/leads.js'
 import { IPlacement } from '../placement/placement.js'
 import { appendWithin } from './durability.js'
 import { createLiveProgram, type LiveProgram } from './liveProgram.js'
@@ -50,8 +50,8 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IJournal) private readonly _journal: IJournal,
     @inject(IMembership) private readonly _membership: IMembership,
-    @inject(ILeadTable) private readonly _leadTable: ILeadTable,
-    @inject(ILeads) private readonly _leads: ILeads,
+    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
     @inject(IPlacement) private readonly _placement: IPlacement,
     @inject(IProgramRouting) private readonly _routing: IProgramRouting,
     @inject(IProgramTable) private readonly _programs: IProgramTable,
@@ -94,7 +94,7 @@
       const isForeign = parent.state.customer !== exchange.request.customer
       if (isForeign) this._refuse(exchange, Reason.NotFound, 'no such parent program')
       else if (parent.state.closedReason !== undefined) this._refuse(exchange, Reason.Closed, 'the parent program is closed')
-      else if (parent.isMoving) this._refuse(exchange, Reason.HomeMoved, 'the parent program is moving', NOT_READY_RETRY_MS)
+      else if (parent.isMoving) this._refuse(exchange, Reason.OwnerMoved, 'the parent program is moving', NOT_READY_RETRY_MS)
       else if (parent.state.depth + 1 > root.state.budget.depth) this._refuse(exchange, Reason.BudgetExceeded, `the budget allows ${root.state.budget.depth} levels of sub-agents`)
       else this._create({ exchange, kind, parent })
     }
@@ -120,10 +120,10 @@
       return
     }
     const query = { model, customer: exchange.request.customer, kind: kind.name, rank: kind.rank, excluded: new Set<string>() }
-    this._placement.collectOffers(query, offers => this._takeOffer(exchange, kind, offers))
+    this._placement.collectEstimates(query, offers => this._takeOffer(exchange, kind, offers))
   }
 
-  private _takeOffer (exchange: OpenExchange, kind: WorkKind, offers: Offer[]): void {
+  private _takeOffer (exchange: OpenExchange, kind: WorkKind, offers: PlacementEstimate[]): void {
     const best = offers.at(0)
     if (best === undefined) {
       this._refuse(exchange, Reason.NoBackend, 'no worker of the model is available', NO_WORKER_RETRY_MS)
@@ -133,7 +133,7 @@
       this._refuse(exchange, Reason.Overloaded, 'the workers carry all the programs they can', best.retryAfterMs)
       return
     }
-    const lead = this._leadTable.leadOf(best.worker)
+    const lead = this._leadTable.coordinatorOf(best.worker)
     if (lead === undefined || lead.node === this._identity.node) {
       this._openHere(exchange, kind, best.worker)
       return
@@ -141,7 +141,7 @@
     const placed = { ...exchange, request: { ...exchange.request, placedWorker: best.worker } }
     this._callers.forward(placed, { node: lead.node, incarnation: lead.incarnation ?? '', address: lead.address }, ({ wasSent }) => {
       this._membership.markUnreachable(lead.node)
-      if (wasSent) this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.HomeUnreachable, detail: `the connection to ${lead.node} broke`, programId: '', step: 0, retryAfterMs: NOT_READY_RETRY_MS })
+      if (wasSent) this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.OwnerUnreachable, detail: `the connection to ${lead.node} broke`, programId: '', step: 0, retryAfterMs: NOT_READY_RETRY_MS })
       else this._takeOffer(exchange, kind, offers.slice(1))
     })
   }
@@ -158,7 +158,7 @@
     }
     const programId = this._nextProgramId()
     if (!this._leads.tryAdmit(worker, programId, kind.rank, kind.name)) {
-      this._refuse(exchange, Reason.Overloaded, 'the worker carries all the programs it can', this._leads.createOffer(worker, kind.rank, kind.name).retryAfterMs)
+      this._refuse(exchange, Reason.Overloaded, 'the worker carries all the programs it can', this._leads.estimatePlacement(worker, kind.rank, kind.name).retryAfterMs)
       return
     }
     this._create({ exchange, kind, worker }, programId)
@@ -193,7 +193,7 @@
       record: { type: 'programSnapshot', program: structuredCopy(state) },
       waitMs: this._settings.turnDurabilityWaitMs,
       onSettled: durability => {
-        if (durability === 'fenced') this._refuse(exchange, Reason.HomeMoved, 'the node was replaced', NOT_READY_RETRY_MS)
+        if (durability === 'fenced') this._refuse(exchange, Reason.OwnerMoved, 'the node was replaced', NOT_READY_RETRY_MS)
         else this._answer(exchange, program, durability === 'durable')
       }
     })
--- a/packages/core/src/common/programs/programRouting.ts
+++ b/packages/core/src/common/programs/programRouting.ts
@@ -27,7 +27,7 @@
    */
   route (exchange: CallerExchange, programId: string, onHere: (program: LiveProgram) => void, onLost: (loss: ProgramLoss) => void): void
   /** Remembers where a program went. */
-  noteMoved (programId: string, home: NodeRef): void
+  recordNewOwner (programId: string, home: NodeRef): void
 }
 export const IProgramRouting = Symbol('IProgramRouting')
 
@@ -61,7 +61,7 @@
     else this._routeByOrigin(exchange, programId, origin, onHere, onLost)
   }
 
-  noteMoved (programId: string, home: NodeRef): void {
+  recordNewOwner (programId: string, home: NodeRef): void {
     this._hints.set(programId, home)
     if (this._hints.size > MAX_HINTS) this._hints.delete(this._hints.keys().next().value as string)
   }
@@ -81,13 +81,13 @@
       this._forward(exchange, home)
       return
     }
-    const adopter = this._takeover.resolveAdopter(journalOf(origin))
+    const adopter = this._takeover.resolveNewOwner(journalOf(origin))
     const peer = adopter === undefined ? undefined : this._membership.findNode(adopter)
     const isElsewhere = peer !== undefined && peer.node !== this._identity.node
     if (isTrusted && isElsewhere) {
       // The old home may be heard again before it knows that it has lost the program.
       const adopted = { node: peer.node, incarnation: peer.incarnation ?? '', address: peer.address }
-      if (this._membership.isTakeoverDue(home)) this.noteMoved(programId, adopted)
+      if (this._membership.isTakeoverDue(home)) this.recordNewOwner(programId, adopted)
       this._forward(exchange, adopted)
     } else this._locate(exchange, programId, home, onHere, onLost)
   }
@@ -100,7 +100,7 @@
         return
       }
       if (location.type === 'at' && location.home.node !== this._identity.node && exchange.hops < MAX_HOPS) {
-        this.noteMoved(programId, location.home)
+        this.recordNewOwner(programId, location.home)
         this._forward(exchange, location.home)
       } else if (location.type === 'lost') {
         onLost('noTrace')
@@ -131,11 +131,11 @@
   }
 
   private _refuse (exchange: CallerExchange, detail: string): void {
-    this._callers.reply(exchange.requestId, toRefusal(exchange, ReasonValue.HomeUnreachable, detail, RETRY_AFTER_MS))
+    this._callers.reply(exchange.requestId, toRefusal(exchange, ReasonValue.OwnerUnreachable, detail, RETRY_AFTER_MS))
   }
 
   private _answerUnknown (exchange: CallerExchange, detail: string): void {
-    this._callers.reply(exchange.requestId, toUnknown(exchange, ReasonValue.HomeUnreachable, detail, RETRY_AFTER_MS))
+    this._callers.reply(exchange.requestId, toUnknown(exchange, ReasonValue.OwnerUnreachable, detail, RETRY_AFTER_MS))
   }
 }
 
--- a/packages/core/src/common/programs/programState.ts
+++ b/packages/core/src/common/programs/programState.ts
@@ -10,7 +10,7 @@
 }
 
 /** A claim for which no result is known. */
-export interface OpenClaim {
+export interface OpenIntent {
   step: number
   key: string
   attempt: number
@@ -46,7 +46,7 @@
   reservedTokens: number
   /** Worker that holds the history in its cache, by model. */
   workers: Array<{ model: string, worker: string }>
-  openClaim?: OpenClaim
+  openClaim?: OpenIntent
   closedReason?: string
 }
 
--- a/packages/core/src/common/programs/programTable.ts
+++ b/packages/core/src/common/programs/programTable.ts
@@ -10,7 +10,7 @@
   readonly onDidRemove: Event<LiveProgram>
   /** Fires when a program is closed; it stays in the table for a while. */
   readonly onDidClose: Event<LiveProgram>
-  noteClosed (program: LiveProgram): void
+  recordClosed (program: LiveProgram): void
   get (programId: string): LiveProgram | undefined
   /** The program that holds the budget of `program`'s tree. */
   rootOf (program: LiveProgram): LiveProgram
@@ -48,7 +48,7 @@
     return this._programs.size
   }
 
-  noteClosed (program: LiveProgram): void {
+  recordClosed (program: LiveProgram): void {
     this._didClose.fire(program)
   }
 
--- a/packages/core/src/common/programs/programs.contribution.ts
+++ b/packages/core/src/common/programs/programs.contribution.ts
@@ -1,5 +1,5 @@
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
-import { ClaimResolver } from './claimResolver.js'
+import { IntentResolver } from './claimResolver.js'
 import { IProgramClosing, ProgramClosing } from './programClosing.js'
 import { ProgramOpening } from './programOpening.js'
 import { ProgramRequests } from './programRequests.js'
@@ -15,7 +15,7 @@
   register (container) {
     container.registerSingleton(IProgramTable, ProgramTable)
     container.registerSingleton(IProgramClosing, ProgramClosing)
-    container.registerSingleton(ClaimResolver)
+    container.registerSingleton(IntentResolver)
     container.registerSingleton(StepEnding)
     container.registerSingleton(IStepRunner, StepRunner)
     container.registerSingleton(Takeover)
--- a/packages/core/src/common/programs/stepDecision.ts
+++ b/packages/core/src/common/programs/stepDecision.ts
@@ -3,7 +3,7 @@
 import { Reason } from '../kernel/callerMessages.js'
 import { chainDigest, digestValue } from '../base/digest.js'
 import type { LiveProgram } from './liveProgram.js'
-import { historyDigestOf, type OpenClaim, nextStepOf, type ProgramState, rebuildTurns, type RecordedTurn } from './programState.js'
+import { historyDigestOf, type OpenIntent, nextStepOf, type ProgramState, rebuildTurns, type RecordedTurn } from './programState.js'
 
 export type StepDecision =
   /** The step is next: run it. */
@@ -15,9 +15,9 @@
   /** Its turn has not come. */
   | { type: 'wait' }
   /** A former attempt may have run: find out. */
-  | { type: 'resolveClaim', claim: OpenClaim }
+  | { type: 'resolveClaim', claim: OpenIntent }
   /** The caller goes on although the fate of the step before is not known. */
-  | { type: 'recordUnknown', claim: OpenClaim }
+  | { type: 'recordUnknown', claim: OpenIntent }
   /** The caller's copy of the history fills what is missing here. */
   | { type: 'resupply', missing: RecordedTurn[] }
   | { type: 'historyNeeded', knownStep: number }
@@ -38,7 +38,7 @@
 }
 
 /** The digest that the history would have if a claimed step were recorded as unknown. */
-export function digestWithUnknown (state: ProgramState, claim: OpenClaim): string {
+export function digestWithUnknown (state: ProgramState, claim: OpenIntent): string {
   return chainDigest(historyDigestOf(state), claim.step, claim.callDigest, digestValue({ type: 'unknown' }))
 }
 
@@ -75,7 +75,7 @@
   return isFull ? refuse(Reason.OutOfOrder, `${waiting.size} steps wait already`) : { type: 'wait' }
 }
 
-function decideBehindClaim (state: ProgramState, claim: OpenClaim, request: StepRequest, callDigest: string): StepDecision {
+function decideBehindClaim (state: ProgramState, claim: OpenIntent, request: StepRequest, callDigest: string): StepDecision {
   if (request.step === claim.step) {
     const isSame = claim.key === request.key && claim.callDigest === callDigest
     return isSame ? { type: 'resolveClaim', claim } : refuse(Reason.KeyReused, `step ${request.step} was claimed with another key or body`)
--- a/packages/core/src/common/programs/stepEnding.ts
+++ b/packages/core/src/common/programs/stepEnding.ts
@@ -7,7 +7,7 @@
 import { NodeIdentity, type NodeRef } from '../kernel/node.js'
 import { CoreSettings } from '../kernel/settings.js'
 import { ITimers } from '../kernel/timers.js'
-import { releaseReservation, settleSpending, tokensLeft } from './budget.js'
+import { releaseReservation, recordSpending, tokensLeft } from './budget.js'
 import { appendWithin } from './durability.js'
 import type { LiveProgram } from './liveProgram.js'
 import { addTurn, historyDigestOf, nextStepOf, type RecordedTurn } from './programState.js'
@@ -47,13 +47,13 @@
       onSettled: durability => {
         const isVoid = durability === 'fenced' && program.state.openClaim === undefined
         if (isVoid) {
-          this.end(started, this.unknown(started, Reason.HomeMoved, 'the program has a new home', RETRY_AFTER_MS))
+          this.end(started, this.unknown(started, Reason.OwnerMoved, 'the program has a new home', RETRY_AFTER_MS))
           return
         }
         program.carriedTokens = 0
         program.state.reservedTokens = reservedTokens
         const turn = addTurn(program.state, { step: request.step, key: request.key, call: request.call, callDigest: running.callDigest, result })
-        settleSpending(root, request.call, spentTokens)
+        recordSpending(root, request.call, spentTokens)
         this.end(started, this.toAnswer(program, turn, durability !== 'notYet'))
       }
     })
@@ -103,8 +103,8 @@
 
   /** The claim was void, so this node sent nothing; a step sent before may have been taken up by the new home. */
   refusalAfterMove (started: StartedStep): CallerReply {
-    if (started.request.isResend) return this.unknown(started, Reason.HomeMoved, 'the program has a new home', RETRY_AFTER_MS)
-    return this.notRun(started, Reason.HomeMoved, 'the program has a new home', RETRY_AFTER_MS)
+    if (started.request.isResend) return this.unknown(started, Reason.OwnerMoved, 'the program has a new home', RETRY_AFTER_MS)
+    return this.notRun(started, Reason.OwnerMoved, 'the program has a new home', RETRY_AFTER_MS)
   }
 
   private _selfRef (): NodeRef {
--- a/packages/core/src/common/programs/stepRunner.ts
+++ b/packages/core/src/common/programs/stepRunner.ts
@@ -9,13 +9,13 @@
 import { digestValue } from '../base/digest.js'
 import { IConfiguration } from '../configuration/configuration.js'
 import { cloneProgram } from '../journal/journalFold.js'
-import { promptTokensOf, reserveBudget, type Reservation, settleSpending } from './budget.js'
-import { ClaimResolver } from './claimResolver.js'
+import { promptTokensOf, reserveBudget, type Reservation, recordSpending } from './budget.js'
+import { IntentResolver } from './claimResolver.js'
 import { appendWithin } from './durability.js'
 import type { LiveProgram, RunningStep } from './liveProgram.js'
 import { ModelSteps } from './modelSteps.js'
 import { IProgramClosing } from './programClosing.js'
-import { addTurn, nextStepOf, type OpenClaim, type RecordedTurn } from './programState.js'
+import { addTurn, nextStepOf, type OpenIntent, type RecordedTurn } from './programState.js'
 import { toRefusal } from './programRouting.js'
 import { IProgramTable } from './programTable.js'
 import { ServiceSteps } from './serviceSteps.js'
@@ -48,7 +48,7 @@
     @inject(ModelSteps) private readonly _modelSteps: ModelSteps,
     @inject(ServiceSteps) private readonly _serviceSteps: ServiceSteps,
     @inject(StepEnding) private readonly _ending: StepEnding,
-    @inject(ClaimResolver) private readonly _claims: ClaimResolver,
+    @inject(IntentResolver) private readonly _claims: IntentResolver,
     @inject(ILogger) private readonly _logger: ILogger
   ) {
     _ending.onDidEnd(program => this._startWaiting(program))
@@ -176,7 +176,7 @@
 
   // History and claims
 
-  private _resolveClaim (exchange: StepExchange, program: LiveProgram, claim: OpenClaim): void {
+  private _resolveClaim (exchange: StepExchange, program: LiveProgram, claim: OpenIntent): void {
     this._claims.resolve(program, claim, idempotencyKeyOf(program, exchange.request), result => {
       if (program.state.openClaim !== claim) {
         this.handle(exchange, program)
@@ -190,10 +190,10 @@
     })
   }
 
-  private _recordResolved (program: LiveProgram, claim: OpenClaim, result: StepResult, onAnswer: (answer: CallerReply) => void): void {
+  private _recordResolved (program: LiveProgram, claim: OpenIntent, result: StepResult, onAnswer: (answer: CallerReply) => void): void {
     const { step, key, call, callDigest } = claim
     const turn = addTurn(program.state, { step, key, call, callDigest, result })
-    settleSpending(this._programs.rootOf(program), call, 0)
+    recordSpending(this._programs.rootOf(program), call, 0)
     appendWithin({
       journal: program.journal,
       timers: this._timers,
@@ -203,12 +203,12 @@
     })
   }
 
-  private _recordUnknown (exchange: StepExchange, program: LiveProgram, claim: OpenClaim): void {
+  private _recordUnknown (exchange: StepExchange, program: LiveProgram, claim: OpenIntent): void {
     this._logger.warn('stepRecordedUnknown', { program: program.state.programId, step: claim.step })
     this._recordResolved(program, claim, { type: 'unknown' }, () => this.handle(exchange, program))
   }
 
-  private _unknownClaim (program: LiveProgram, claim: OpenClaim): Unknown {
+  private _unknownClaim (program: LiveProgram, claim: OpenIntent): Unknown {
     return {
       type: 'unknown',
       reason: Reason.AnswerLost,
@@ -225,7 +225,7 @@
     this._logger.info('historyResupplied', { program: program.state.programId, turns: missing.length })
     for (const turn of missing) {
       program.state.turns.push(turn)
-      settleSpending(root, turn.call, spentTokensOf(turn))
+      recordSpending(root, turn.call, spentTokensOf(turn))
     }
     program.state.openClaim = undefined
     program.journal.append({ type: 'programSnapshot', program: cloneProgram(program.state) }, () => {})
--- a/packages/core/src/common/programs/takeover.ts
+++ b/packages/core/src/common/programs/takeover.ts
@@ -15,7 +15,7 @@
 import { IConfiguration } from '../configuration/configuration.js'
 import { IJournal, type IJournalEpoch } from '../journal/journal.js'
 import { cloneProgram, type JournalState } from '../journal/journalFold.js'
-import { type Fenced, journalOf, type Adopted } from '../journal/journalRecords.js'
+import { type Fenced, journalOf, type OwnershipTransferred } from '../journal/journalRecords.js'
 import { IJournalReader } from '../journal/journalReader.js'
 import { IMembership } from '../membership/membership.js'
 import { createLiveProgram } from './liveProgram.js'
@@ -37,7 +37,7 @@
 /** Moves programs away from runs of the daemon that have ended. */
 export interface ITakeover {
   /** The live node that should take a journal over. */
-  resolveAdopter (journal: string): string | undefined
+  resolveNewOwner (journal: string): string | undefined
   /** Finds a program by the journals; takes its last home's journal over when that home is gone. */
   locate (programId: string, origin: NodeRef, onLocated: (location: Location) => void): void
 }
@@ -73,7 +73,7 @@
     this._timers.every(CHECK_PERIOD_MS, () => this._checkJournals())
   }
 
-  resolveAdopter (journal: string): string | undefined {
+  resolveNewOwner (journal: string): string | undefined {
     return resolveOwner(journal, this._membership.liveNodes(), peer => peer.node)?.node
   }
 
@@ -87,7 +87,7 @@
     for (const { journal, node } of this._configuration.state.journals) {
       if (isSameNode(node, this._identity) || this._finished.has(journal)) continue
       if (!this._membership.isTakeoverDue(node)) continue
-      if (this.resolveAdopter(journal) !== this._identity.node) continue
+      if (this.resolveNewOwner(journal) !== this._identity.node) continue
       this._adoptJournal(journal, node, () => {})
     }
   }
@@ -237,7 +237,7 @@
       return
     }
     const programIds = wanted.map(program => program.programId)
-    const record: Adopted = { id: this._nextRecordId(), type: 'adopted', programIds, to: own.writer }
+    const record: OwnershipTransferred = { id: this._nextRecordId(), type: 'adopted', programIds, to: own.writer }
     this._log.append(attempt.journal, [record], () => {
       this._reader.readJournal(attempt.journal, read => {
         if (read === undefined) this._giveUp(attempt)
--- a/packages/core/src/common/routing/routeDocument.ts
+++ b/packages/core/src/common/routing/routeDocument.ts
@@ -27,8 +27,8 @@
   /** Workers to which one request may be sent at the most. */
   maxAttempts: number
   /** Finished turns are kept, so that later ones can continue from them. */
-  keepsTurns: boolean
-  keepTurnsMs: number
+  retainsTurns: boolean
+  turnRetentionMs: number
   /** A worker that served the same object or prompt before is faster. */
   isSticky: boolean
   /** A broken stream may go on at another worker after its last event. */
--- a/packages/core/src/common/turns/partitionState.ts
+++ b/packages/core/src/common/turns/partitionState.ts
@@ -2,7 +2,7 @@
 import { type CachedPart, PromptCache, type PromptPart } from './promptCache.js'
 import { committedTokens, type ProgramAccount, TokenLedger, TokenReservation } from './tokenLedger.js'
 import { decodeRecord, decodeTurn, encodeAccount, encodeTurn, type KeyedRecord, removeAccount, removeTurn } from './turnRecords.js'
-import { type KeptTurn, TurnTree } from './turnTree.js'
+import { type RetainedTurn, TurnTree } from './turnTree.js'
 
 /** Accounts without a change for this long belong to programs that are gone. */
 const ACCOUNT_KEEP_MS = 300_000
@@ -20,7 +20,7 @@
 
 export type GrantDecision =
   /** `records` must be in the log before the caller gets a token. */
-  | { type: 'granted', chain: KeptTurn[], records: KeyedRecord[], cached: CachedPart[] }
+  | { type: 'granted', chain: RetainedTurn[], records: KeyedRecord[], cached: CachedPart[] }
   | { type: 'spent' }
   | { type: 'noSuchTurn' }
 
@@ -34,7 +34,7 @@
   /** The prompt as the worker holds it now, with what it generated. */
   prompt: PromptPart[]
   /** Present when the answer is whole and the route keeps turns. */
-  turn?: KeptTurn
+  turn?: RetainedTurn
 }
 
 export interface PartitionStateOptions {
@@ -119,7 +119,7 @@
       this._turns.add(end.turn, nowMs)
       records.push(...encodeTurn(end.turn, this._options.maxRecordBytes))
     }
-    if (end.worker !== undefined) this._promptCache.note(end.worker, end.prompt)
+    if (end.worker !== undefined) this._promptCache.recordPrompt(end.worker, end.prompt)
     if (this._ledger.settle(end.programId, end.requestId, end.usedTokens)) {
       // Nobody waits for the record of a turn that isn't kept, so nothing may rest on it.
       if (end.turn !== undefined) this._ledger.allowAhead(end.programId)
@@ -134,13 +134,13 @@
   }
 
   /** Takes turns of another partition that a program here continues. */
-  importTurns (chain: readonly KeptTurn[], nowMs: number): KeyedRecord[] {
+  importTurns (chain: readonly RetainedTurn[], nowMs: number): KeyedRecord[] {
     const missing = chain.filter(turn => !this._turns.has(turn.turnId))
     for (const turn of missing) this._turns.add(turn, nowMs)
     return missing.flatMap(turn => encodeTurn(turn, this._options.maxRecordBytes))
   }
 
-  chainOf (turnId: string): KeptTurn[] | undefined {
+  chainOf (turnId: string): RetainedTurn[] | undefined {
     return this._turns.chainOf(turnId)
   }
 
--- a/packages/core/src/common/turns/promptCache.ts
+++ b/packages/core/src/common/turns/promptCache.ts
@@ -25,7 +25,7 @@
 export class PromptCache {
   private readonly _parts = new Map<string, CachedPart>()
 
-  note (worker: string, prompt: readonly PromptPart[]): void {
+  recordPrompt (worker: string, prompt: readonly PromptPart[]): void {
     for (const part of prompt.slice(1)) {
       this._parts.delete(part.id)
       this._parts.set(part.id, { ...part, worker })
--- a/packages/core/src/common/turns/turnRecords.ts
+++ b/packages/core/src/common/turns/turnRecords.ts
@@ -2,7 +2,7 @@
 import { Packr } from 'msgpackr'
 import { digestText } from '../base/digest.js'
 import type { ProgramAccount } from './tokenLedger.js'
-import type { KeptTurn } from './turnTree.js'
+import type { RetainedTurn } from './turnTree.js'
 
 /** A record of a keyed topic; without a value it removes its key. */
 export interface KeyedRecord {
@@ -32,7 +32,7 @@
 }
 
 /** The records of a turn: one, or several parts when it is larger than a record may be. */
-export function encodeTurn (turn: KeptTurn, maxRecordBytes: number): KeyedRecord[] {
+export function encodeTurn (turn: RetainedTurn, maxRecordBytes: number): KeyedRecord[] {
   const { turnId, programId, previousTurnId, input, output, keepMs, worker } = turn
   const bytes = packr.pack([turnId, programId, previousTurnId ?? null, input, output, keepMs, worker ?? null])
   const partBytes = maxRecordBytes - RECORD_OVERHEAD_BYTES
@@ -49,7 +49,7 @@
 }
 
 /** Records that remove a turn. */
-export function removeTurn (turn: KeptTurn, maxRecordBytes: number): KeyedRecord[] {
+export function removeTurn (turn: RetainedTurn, maxRecordBytes: number): KeyedRecord[] {
   const count = Math.max(1, Math.ceil((turn.input.length + turn.output.length + RECORD_OVERHEAD_BYTES) / (maxRecordBytes - RECORD_OVERHEAD_BYTES)))
   return Array.from({ length: count }, (_, index) => ({ key: turnKey(turn.turnId, index) }))
 }
@@ -71,7 +71,7 @@
 }
 
 /** Reads a turn from the joined bytes of its parts; undefined when they are damaged. */
-export function decodeTurn (bytes: Uint8Array): KeptTurn | undefined {
+export function decodeTurn (bytes: Uint8Array): RetainedTurn | undefined {
   try {
     const [turnId, programId, previousTurnId, input, output, keepMs, worker] = packr.unpack(bytes) as [string, string, string | null, Uint8Array, Uint8Array, number, string | null]
     if (!(input instanceof Uint8Array) || !(output instanceof Uint8Array)) return undefined
--- a/packages/core/src/common/turns/turnTree.ts
+++ b/packages/core/src/common/turns/turnTree.ts
@@ -1,7 +1,7 @@
 /** Finished turns of programs, each of which may be continued by several others. */
 
 /** A turn whose answer was delivered whole. */
-export interface KeptTurn {
+export interface RetainedTurn {
   /** Request id of the turn. */
   turnId: string
   programId: string
@@ -17,7 +17,7 @@
 }
 
 interface Entry {
-  turn: KeptTurn
+  turn: RetainedTurn
   expiresAtMs: number
 }
 
@@ -45,12 +45,12 @@
     return this._entries.has(turnId)
   }
 
-  find (turnId: string): KeptTurn | undefined {
+  find (turnId: string): RetainedTurn | undefined {
     return this._entries.get(turnId)?.turn
   }
 
   /** Adds a turn and keeps every turn before it at least as long. A known turn isn't replaced. */
-  add (turn: KeptTurn, nowMs: number): void {
+  add (turn: RetainedTurn, nowMs: number): void {
     const expiresAtMs = nowMs + turn.keepMs
     if (!this._entries.has(turn.turnId)) {
       this._entries.set(turn.turnId, { turn, expiresAtMs })
@@ -60,8 +60,8 @@
   }
 
   /** The turns from the first to `turnId`; undefined when one of them isn't here. */
-  chainOf (turnId: string): KeptTurn[] | undefined {
-    const chain: KeptTurn[] = []
+  chainOf (turnId: string): RetainedTurn[] | undefined {
+    const chain: RetainedTurn[] = []
     const seen = new Set<string>()
     let next: string | undefined = turnId
     while (next !== undefined) {
@@ -75,8 +75,8 @@
   }
 
   /** Removes and returns the turns whose time is over. */
-  expire (nowMs: number): KeptTurn[] {
-    const expired: KeptTurn[] = []
+  expire (nowMs: number): RetainedTurn[] {
+    const expired: RetainedTurn[] = []
     for (const [turnId, { turn, expiresAtMs }] of this._entries) {
       if (expiresAtMs > nowMs) continue
       this._entries.delete(turnId)
@@ -98,6 +98,6 @@
 }
 
 /** The whole prompt of a turn that continues `chain`: every input and output in order, then the new input. */
-export function joinChain (chain: readonly KeptTurn[], input: Uint8Array): Uint8Array[] {
+export function joinChain (chain: readonly RetainedTurn[], input: Uint8Array): Uint8Array[] {
   return [...chain.flatMap(turn => [turn.input, turn.output]), input]
 }
--- a/packages/core/src/common/workers/workerRegistry.ts
+++ b/packages/core/src/common/workers/workerRegistry.ts
@@ -36,10 +36,10 @@
   update (workerId: string, registration: WorkerRegistration | undefined, nowMs: number): void
   /** Replaces everything by a full listing. */
   replaceAll (registrations: readonly WorkerRegistration[], nowMs: number): void
-  noteLogLost (): void
-  noteLogRegained (nowMs: number): void
+  handleLogLost (): void
+  handleLogRegained (nowMs: number): void
   /** Notes that another worker answers at a worker's address: its registration is out of date. */
-  noteDenied (workerId: string, nowMs: number): void
+  markMisdirected (workerId: string, nowMs: number): void
   /** Workers of a service that may get new work. */
   workersOf (service: string, nowMs: number): WorkerRegistration[]
   find (workerId: string): WorkerRegistration | undefined
@@ -81,16 +81,16 @@
     }
   }
 
-  noteLogLost (): void {
+  handleLogLost (): void {
     this._isLogLost = true
   }
 
-  noteLogRegained (nowMs: number): void {
+  handleLogRegained (nowMs: number): void {
     if (this._isLogLost) this._regainedAtMs = nowMs
     this._isLogLost = false
   }
 
-  noteDenied (workerId: string, nowMs: number): void {
+  markMisdirected (workerId: string, nowMs: number): void {
     const known = this._entries.get(workerId)
     if (known !== undefined) known.deniedAtMs = nowMs
   }
--- a/packages/core/src/common/workers/workerStatistics.ts
+++ b/packages/core/src/common/workers/workerStatistics.ts
@@ -24,8 +24,8 @@
   /** Ends a request. `ratio` is its duration relative to the mean of its route; absent when it did not run to its end. */
   end (workerId: string, ratio?: number): void
   /** `severity` is 1 for a request that is lost, less for one that was answered with a failure or refused. */
-  noteFailure (workerId: string, nowMs: number, severity?: number): void
-  notePrompt (workerId: string, prompt: readonly PromptPart[]): void
+  recordFailure (workerId: string, nowMs: number, severity?: number): void
+  recordPrompt (workerId: string, prompt: readonly PromptPart[]): void
   /** Replaces what a peer has in flight. */
   setPeerLoad (peer: string, inFlight: Readonly<Record<string, number>>): void
   dropPeer (peer: string): void
@@ -61,13 +61,13 @@
     figures.failureRate.add(0)
   }
 
-  noteFailure (workerId: string, nowMs: number, severity = 1): void {
+  recordFailure (workerId: string, nowMs: number, severity = 1): void {
     const figures = this._figuresOf(workerId)
     figures.failureRate.add(severity)
     figures.lastFailureAtMs = nowMs
   }
 
-  notePrompt (workerId: string, prompt: readonly PromptPart[]): void {
+  recordPrompt (workerId: string, prompt: readonly PromptPart[]): void {
     const { cachedParts } = this._figuresOf(workerId)
     for (const { id, tokens } of prompt) {
       const known = cachedParts.get(id) ?? 0
--- a/packages/core/test/common/dispatch/limits.test.ts
+++ b/packages/core/test/common/dispatch/limits.test.ts
@@ -14,7 +14,7 @@
   const budget = new RetryBudget(createCoreSettings())
   let taken = 0
   for (let index = 0; index < 10_000; index++) {
-    budget.noteFirstAttempt('riders')
+    budget.recordFirstAttempt('riders')
     if (budget.tryTake('riders')) taken++
   }
   assert.ok(taken <= 1_010, `${taken} retries`)
@@ -24,8 +24,8 @@
 test('one customer cannot use up the retries of another', () => {
   const budget = new RetryBudget(createCoreSettings())
   for (let index = 0; index < 300; index++) {
-    budget.noteFirstAttempt('riders')
-    budget.noteFirstAttempt('dealers')
+    budget.recordFirstAttempt('riders')
+    budget.recordFirstAttempt('dealers')
     budget.tryTake('riders')
   }
   assert.not(budget.tryTake('riders') && budget.tryTake('riders') && budget.tryTake('riders'))
@@ -34,10 +34,10 @@
 test('a worker that fails three times in a row is left out for a while', () => {
   let nowMs = 0
   const outliers = createOutliers(8, { nowMs: () => nowMs })
-  outliers.noteFailure('w1')
-  outliers.noteFailure('w1')
+  outliers.recordFailure('w1')
+  outliers.recordFailure('w1')
   assert.not(outliers.isEjected('w1'))
-  outliers.noteFailure('w1')
+  outliers.recordFailure('w1')
   assert.ok(outliers.isEjected('w1'))
   nowMs = 6_000
   assert.not(outliers.isEjected('w1'))
@@ -45,17 +45,17 @@
 
 test('a success forgives earlier failures', () => {
   const outliers = createOutliers(8, { nowMs: () => 0 })
-  outliers.noteFailure('w1')
-  outliers.noteFailure('w1')
-  outliers.noteSuccess('w1')
-  outliers.noteFailure('w1')
+  outliers.recordFailure('w1')
+  outliers.recordFailure('w1')
+  outliers.recordSuccess('w1')
+  outliers.recordFailure('w1')
   assert.not(outliers.isEjected('w1'))
 })
 
 test('never more than the allowed share of a back end is left out', () => {
   const outliers = createOutliers(8, { nowMs: () => 0 })
   for (let index = 0; index < 8; index++) {
-    for (let round = 0; round < 5; round++) outliers.noteFailure(`w${index}`)
+    for (let round = 0; round < 5; round++) outliers.recordFailure(`w${index}`)
   }
   const ejected = Array.from({ length: 8 }, (_, index) => outliers.isEjected(`w${index}`)).filter(Boolean).length
   assert.is(ejected, 2)
--- a/packages/core/test/common/placement/admission.test.ts
+++ b/packages/core/test/common/placement/admission.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { AdmitAll, AdmitByWork, ConcurrencyLimit, KindProfiles, Rank, Residents } from '@trefoilshunt/core'
+import { AdmitAll, AdmitByWork, ConcurrencyLimit, KindProfiles, Rank, ActivePrograms } from '@trefoilshunt/core'
 
 const FLOORS = { urgent: 0.3, other: 0.2 }
 const TARGET_MS = 60_000
@@ -14,7 +14,7 @@
     profiles.noteService('fitting', 4_000)
     profiles.notePause('fitting', 1_000)
   }
-  const residents = new Residents(profiles)
+  const residents = new ActivePrograms(profiles)
   for (let index = 0; index < load.urgent; index++) residents.noteSeen(`u${index}`, 'fitting', Rank.Urgent, 0)
   for (let index = 0; index < load.other; index++) residents.noteSeen(`o${index}`, 'fitting', Rank.Other, 0)
   return new AdmitByWork({ tailFactor: 1.2, minSlack: 0.1 }).isAdmitted({ rank, kind: 'fitting', targetMs: TARGET_MS, limit, fullLimit: limit, floors: FLOORS, residents, profiles })
@@ -42,7 +42,7 @@
 
 test('an idle worker admits a program whose work is assumed to exceed its target', () => {
   const profiles = new KindProfiles()
-  const query = { rank: Rank.Other, kind: 'unknown', targetMs: 100, limit: 1, fullLimit: 1, floors: { urgent: 0, other: 0 }, residents: new Residents(profiles), profiles }
+  const query = { rank: Rank.Other, kind: 'unknown', targetMs: 100, limit: 1, fullLimit: 1, floors: { urgent: 0, other: 0 }, residents: new ActivePrograms(profiles), profiles }
   assert.ok(new AdmitByWork({ tailFactor: 1.5, minSlack: 0.25 }).isAdmitted(query))
 })
 
@@ -51,7 +51,7 @@
 })
 
 test('programs that were silent for long no longer count', () => {
-  const residents = new Residents(new KindProfiles())
+  const residents = new ActivePrograms(new KindProfiles())
   residents.noteSeen('p1', 'fitting', Rank.Urgent, 0)
   residents.forgetSilent(1_000)
   assert.is(residents.count, 1)
--- a/packages/core/test/common/programs/budget.test.ts
+++ b/packages/core/test/common/programs/budget.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { createLiveProgram, type IJournalEpoch, type LiveProgram, releaseReservation, reserveBudget, settleSpending, type StepCall, tokensLeft } from '@trefoilshunt/core'
+import { createLiveProgram, type IJournalEpoch, type LiveProgram, releaseReservation, reserveBudget, recordSpending, type StepCall, tokensLeft } from '@trefoilshunt/core'
 
 const MODEL: StepCall = { type: 'model', messages: [{ role: 'user', content: 'x'.repeat(40) }], maxTokens: 50 }
 const TOOL: StepCall = { type: 'service', service: 's', path: '/', body: null, isRepeatable: false }
@@ -59,7 +59,7 @@
 test('what a step did not use comes back', () => {
   const root = createRoot({ tokens: 100 })
   const reservation = reserveBudget(root, MODEL, 0).unsafeCoerce()
-  settleSpending(root, MODEL, 15)
+  recordSpending(root, MODEL, 15)
   releaseReservation(root, reservation)
   assert.is(tokensLeft(root), 85)
   assert.equal(root.outstanding, { tokens: 0, steps: 0, toolCalls: 0 })
--- a/packages/core/test/common/routing/routeTable.test.ts
+++ b/packages/core/test/common/routing/routeTable.test.ts
@@ -13,8 +13,8 @@
     priority: 0,
     targets,
     maxAttempts: 1,
-    keepsTurns: false,
-    keepTurnsMs: 0,
+    retainsTurns: false,
+    turnRetentionMs: 0,
     isSticky: false,
     canResume: false,
     maxEventGapMs: 200
--- a/packages/core/test/common/turns/partitionState.test.ts
+++ b/packages/core/test/common/turns/partitionState.test.ts
@@ -1,15 +1,15 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import fc from 'fast-check'
-import { type KeptTurn, type KeyedRecord, PartitionState, TokenLedger, type TurnEnd, TurnTree } from '@trefoilshunt/core'
+import { type RetainedTurn, type KeyedRecord, PartitionState, TokenLedger, type TurnEnd, TurnTree } from '@trefoilshunt/core'
 
 const MAX_RECORD_BYTES = 4_096
 
-function createTurn (turnId: string, previousTurnId?: string, bytes = 10): KeptTurn {
+function createTurn (turnId: string, previousTurnId?: string, bytes = 10): RetainedTurn {
   return { turnId, programId: 'p', previousTurnId, input: new Uint8Array(bytes).fill(1), output: new Uint8Array(bytes).fill(2), keepMs: 1_000, worker: 'w' }
 }
 
-function createEnd (turnId: string, usedTokens: number, turn?: KeptTurn): TurnEnd {
+function createEnd (turnId: string, usedTokens: number, turn?: RetainedTurn): TurnEnd {
   return { programId: 'p', requestId: turnId, usedTokens, worker: 'w', prompt: [], turn }
 }
 
--- a/packages/node/src/common/routed/peerMessages.ts
+++ b/packages/node/src/common/routed/peerMessages.ts
@@ -1,5 +1,5 @@
 /** Messages between the nodes' routed parts. Sent as MessagePack, since they carry prompts and answers as bytes. */
-import type { CachedPart, GrantRequest, KeyedRecord, KeptTurn, TurnEnd } from '@trefoilshunt/core'
+import type { CachedPart, GrantRequest, KeyedRecord, RetainedTurn, TurnEnd } from '@trefoilshunt/core'
 
 /** How a node can be reached. */
 export interface NodeAddress {
@@ -14,7 +14,7 @@
 }
 
 /** A crash of a worker that a node saw, with the request that the worker ran. */
-export interface SeenCrash {
+export interface ObservedCrash {
   /** Equal for a request that comes again. */
   fingerprint: string
   /** The worker's id and start. */
@@ -38,7 +38,7 @@
   /** Own requests in flight by worker. */
   load: Record<string, number>
   /** Crashes of workers that the sender saw lately. */
-  crashes?: SeenCrash[]
+  crashes?: ObservedCrash[]
   /** Peers that the sender knows; absent when the receiver was told before. */
   peers?: NodeAddress[]
 }
@@ -68,5 +68,5 @@
 export type PeerReply =
   | GrantReply
   | EndReply
-  | { type: 'chain', chain?: KeptTurn[], partitions: number[] }
+  | { type: 'chain', chain?: RetainedTurn[], partitions: number[] }
   | { type: 'topicContent', records?: KeyedRecord[] }
--- a/packages/node/src/node/routed/adaptiveTimeout.ts
+++ b/packages/node/src/node/routed/adaptiveTimeout.ts
@@ -28,12 +28,12 @@
     return this._ms
   }
 
-  noteAnswer (): void {
+  recordAnswer (): void {
     this._ms = Math.max(this._options.firstMs, this._ms * DECAY)
   }
 
   /** A call had no answer in time: the next one gets twice as long. */
-  noteSilence (): void {
+  recordTimeout (): void {
     this._ms = Math.min(this._options.maxMs, this._ms * 2)
   }
 }
--- a/packages/node/src/node/routed/appendQueue.ts
+++ b/packages/node/src/node/routed/appendQueue.ts
@@ -161,11 +161,11 @@
 
   private _prepareRepeat (result: AppendResult): void {
     if (result.type === 'outOfSequence') this._sequence = result.expected
-    else if (result.type === 'unknown') this._timeout.noteSilence()
+    else if (result.type === 'unknown') this._timeout.recordTimeout()
   }
 
   private _finish (batch: Batch): void {
-    this._timeout.noteAnswer()
+    this._timeout.recordAnswer()
     this._inFlight = undefined
     this._sinceMs = undefined
     for (const settle of batch.waiters) settle('recorded')
--- a/packages/node/src/node/routed/crashWatch.ts
+++ b/packages/node/src/node/routed/crashWatch.ts
@@ -1,8 +1,8 @@
 /** Finds requests that crash the workers that run them, over all nodes, and keeps them from further workers. */
 import { createHash } from 'node:crypto'
 import { createConnection } from 'node:net'
-import { CrashSuspicions, type LogFields, type WorkerRegistration } from '@trefoilshunt/core'
-import type { SeenCrash } from '../../common/routed/peerMessages.js'
+import { SuspectRequests, type LogFields, type WorkerRegistration } from '@trefoilshunt/core'
+import type { ObservedCrash } from '../../common/routed/peerMessages.js'
 import type { RoutedRequest } from '../../common/routed/routedRequest.js'
 import { steadyNowMs } from '../steadyClock.js'
 import { splitAddress } from './peerMesh.js'
@@ -17,7 +17,7 @@
 const TELL_MS = 60_000
 const MAX_SERVED = 1_000
 
-export interface CrashWatchOptions {
+export interface PoisonRequestDetectorOptions {
   /** This node has something new to tell its peers. */
   onSeen: () => void
   write: (event: string, fields: LogFields) => void
@@ -28,28 +28,28 @@
  * const watch = new CrashWatch({ onSeen, write })
  * if (watch.isQuarantined(request)) refuse()
  */
-export class CrashWatch {
-  private readonly _suspicions = new CrashSuspicions({ crashesToQuarantine: CRASHES_TO_QUARANTINE, spacingMs: SPACING_MS })
-  private _seen: Array<Omit<SeenCrash, 'agoMs'> & { atMs: number }> = []
+export class PoisonRequestDetector {
+  private readonly _suspicions = new SuspectRequests({ crashesToQuarantine: CRASHES_TO_QUARANTINE, spacingMs: SPACING_MS })
+  private _seen: Array<Omit<ObservedCrash, 'agoMs'> & { atMs: number }> = []
   /** When suspects were served, by fingerprint. */
   private readonly _servedAtMs = new Map<string, number>()
 
-  constructor (private readonly _options: CrashWatchOptions) {}
+  constructor (private readonly _options: PoisonRequestDetectorOptions) {}
 
   /** Crashes that this node saw lately. */
-  get seen (): SeenCrash[] {
+  get seen (): ObservedCrash[] {
     const nowMs = steadyNowMs()
     this._seen = this._seen.filter(({ atMs }) => nowMs - atMs < TELL_MS)
     return this._seen.map(({ fingerprint, worker, atMs }) => ({ fingerprint, worker, agoMs: Math.round(nowMs - atMs) }))
   }
 
   /** Takes what a peer saw. */
-  takeSeen (crashes: readonly SeenCrash[]): void {
+  takeSeen (crashes: readonly ObservedCrash[]): void {
     for (const { fingerprint, worker, agoMs } of crashes) this._add(fingerprint, worker, steadyNowMs() - agoMs)
   }
 
   /** A worker broke the request off: a crash, if its address refuses connections now. */
-  async noteBroken (request: RoutedRequest, worker: WorkerRegistration): Promise<void> {
+  async handleBrokenRequest (request: RoutedRequest, worker: WorkerRegistration): Promise<void> {
     if (!await refusesConnections(worker.address)) return
     const crash = { fingerprint: fingerprintOf(request), worker: `${worker.workerId}@${worker.startedAtMs}`, atMs: steadyNowMs() }
     this._options.write('workerCrashed', { requestId: request.requestId, worker: worker.workerId, address: worker.address, fingerprint: crash.fingerprint })
@@ -59,7 +59,7 @@
   }
 
   /** A worker has served the request, so it is no cause of crashes. */
-  noteServed (request: RoutedRequest): void {
+  recordServed (request: RoutedRequest): void {
     if (this._suspicions.isEmpty) return
     const fingerprint = fingerprintOf(request)
     if (!this._suspicions.clear(fingerprint)) return
--- a/packages/node/src/node/routed/knowledge.ts
+++ b/packages/node/src/node/routed/knowledge.ts
@@ -6,7 +6,7 @@
 import { delay, steadyNowMs } from '../steadyClock.js'
 import type { NodeDirectory } from './nodeDirectory.js'
 import type { PeerMesh } from './peerMesh.js'
-import { TopicCopies } from './topicCopies.js'
+import { TopicSnapshots } from './topicCopies.js'
 import { TopicFollower } from './topicFollower.js'
 
 /** Nodes announce themselves here, each under its name. */
@@ -25,7 +25,7 @@
   decodeRegistration (workerId: string, bytes: Uint8Array): WorkerRegistration | undefined
 }
 
-export interface KnowledgeOptions {
+export interface ClusterViewOptions {
   /** This node's name. */
   node: string
   documentTopic: string
@@ -48,17 +48,17 @@
  * knowledge.start()
  * void knowledge.announce(self)
  */
-export class Knowledge {
+export class ClusterView {
   private readonly _packr = new Packr({ useRecords: false })
   private readonly _documentFollower: TopicFollower
   private readonly _workerFollower: TopicFollower
   private readonly _nodeFollower: TopicFollower
-  private readonly _copies: TopicCopies
+  private readonly _copies: TopicSnapshots
   private _isStopped = false
 
-  constructor (private readonly _options: KnowledgeOptions) {
+  constructor (private readonly _options: ClusterViewOptions) {
     const { documentTopic, workerTopic, log, directory } = _options
-    this._copies = new TopicCopies({
+    this._copies = new TopicSnapshots({
       log,
       contents: () => this._contentsToCopy,
       isWriter: () => directory.alive.every(({ from }) => from.node > _options.node),
@@ -123,8 +123,8 @@
   private _noteLog (topic: string, isReachable: boolean): void {
     this._write(isReachable ? 'info' : 'warn', isReachable ? 'logRegained' : 'logLost', { topic })
     if (topic !== this._options.workerTopic) return
-    if (isReachable) this._options.registry.noteLogRegained(steadyNowMs())
-    else this._options.registry.noteLogLost()
+    if (isReachable) this._options.registry.handleLogRegained(steadyNowMs())
+    else this._options.registry.handleLogLost()
   }
 
   /** What both the nodes' service and its callers rest on; the nodes' own addresses are announced at each start. */
@@ -144,7 +144,7 @@
   private async _askPeers (topic: string): Promise<KeyedRecord[] | undefined> {
     const peer = this._options.directory.alive.filter(status => status.logSilenceMs < LOG_DOWN_MS).sort((left, right) => left.logSilenceMs - right.logSilenceMs).at(0)
     if (peer === undefined) return undefined
-    const reply = await this._options.mesh.ask(peer.from.node, { type: 'topic', topic }, TOPIC_ASK_MS)
+    const reply = await this._options.mesh.requestOnce(peer.from.node, { type: 'topic', topic }, TOPIC_ASK_MS)
     return reply?.type === 'topicContent' ? reply.records : undefined
   }
 
@@ -207,7 +207,7 @@
 
   /** Gets a newer document from a peer that has it already. */
   async fetchDocument (peer: string): Promise<void> {
-    const reply = await this._options.mesh.ask(peer, { type: 'topic', topic: this._options.documentTopic }, TOPIC_ASK_MS)
+    const reply = await this._options.mesh.requestOnce(peer, { type: 'topic', topic: this._options.documentTopic }, TOPIC_ASK_MS)
     if (reply?.type === 'topicContent' && reply.records !== undefined) this._takeDocuments(reply.records)
   }
 
--- a/packages/node/src/node/routed/nodeDirectory.ts
+++ b/packages/node/src/node/routed/nodeDirectory.ts
@@ -1,6 +1,6 @@
 /** The nodes of the system as this one sees them: who is alive, who is ready, who owns which partition. */
 import type { NodeAddress, NodeStatus } from '../../common/routed/peerMessages.js'
-import { silenceLimitMs } from './statusPeriod.js'
+import { heartbeatTimeoutMs } from './statusPeriod.js'
 
 /** A peer that was never heard for this long is dropped from the directory. */
 const FORGET_MS = 60_000
@@ -41,7 +41,7 @@
     this._options.onAdded(address)
   }
 
-  noteStatus (status: NodeStatus): void {
+  applyStatus (status: NodeStatus): void {
     this.add(status.from)
     for (const peer of status.peers ?? []) this.add(peer)
     const known = this._nodes.get(status.from.node)
@@ -52,7 +52,7 @@
   }
 
   /** A closed connection shows the end of a process at once; a peer that lives says so with its next status. */
-  noteLost (node: string): void {
+  markLost (node: string): void {
     const known = this._nodes.get(node)
     if (known !== undefined) known.isLost = true
   }
@@ -67,7 +67,7 @@
     const nowMs = this._options.nowMs()
     const statuses: NodeStatus[] = []
     for (const { status, heardAtMs, isLost } of this._nodes.values()) {
-      if (status !== undefined && !isLost && nowMs - heardAtMs <= silenceLimitMs(status.periodMs)) statuses.push(status)
+      if (status !== undefined && !isLost && nowMs - heardAtMs <= heartbeatTimeoutMs(status.periodMs)) statuses.push(status)
     }
     return statuses
   }
@@ -90,8 +90,8 @@
   callerAddresses (zone: string | undefined, isSelfReady: boolean): string[] {
     const ready = this.alive.filter(status => status.isReady && !status.isDraining).map(status => status.from)
     if (isSelfReady) ready.push(this._options.self)
-    const near = ready.filter(address => address.zone === zone)
-    const chosen = near.length >= MIN_ZONE_NODES ? near : ready
+    const nodesByProximity = ready.filter(address => address.zone === zone)
+    const chosen = nodesByProximity.length >= MIN_ZONE_NODES ? nodesByProximity : ready
     if (chosen.length <= MAX_ADDRESSES) return chosen.map(address => address.callerAddress)
     // Each answer begins elsewhere, so that every node gets its share of the callers.
     this._rotation = (this._rotation + MAX_ADDRESSES) % chosen.length
--- a/packages/node/src/node/routed/partitionHost.ts
+++ b/packages/node/src/node/routed/partitionHost.ts
@@ -134,13 +134,13 @@
       const result = await log.join({ group: GROUP, member, topic: TURN_TOPIC, ttlMs: memberTtlMs, generation: this._generation, timeoutMs: this._memberTimeout.ms })
       if (this._isStopped) return
       if (result.type === 'joined') {
-        this._memberTimeout.noteAnswer()
+        this._memberTimeout.recordAnswer()
         this._lastJoinMs = sentMs
         this._lastJoinWallMs = sentWallMs
         await this._applyMembership(result.generation, result.partitions)
         if (this._isStopped) return
       } else {
-        this._memberTimeout.noteSilence()
+        this._memberTimeout.recordTimeout()
         this._options.write('groupJoinFailed', { detail: result.detail, sinceLastMs: Math.round(sentMs - this._lastJoinMs) })
       }
       const isSettling = result.type === 'joined' && steadyNowMs() - this._changedAtMs < SETTLING_MS
@@ -165,7 +165,7 @@
     const untilMs = steadyNowMs() + LEAVE_MS
     while (steadyNowMs() < untilMs) {
       if (await this._options.log.leave(GROUP, this._options.member, this._memberTimeout.ms)) return
-      this._memberTimeout.noteSilence()
+      this._memberTimeout.recordTimeout()
       await delay(SETTLING_JOIN_MS)
     }
     this._options.write('groupLeaveFailed', { tookMs: LEAVE_MS })
--- a/packages/node/src/node/routed/partitionOwner.ts
+++ b/packages/node/src/node/routed/partitionOwner.ts
@@ -1,5 +1,5 @@
 /** One partition of turns and accounts while this node owns it: its folded state and its only writer. */
-import { type CachedPart, type GrantRequest, type IRandom, isAccountKey, type KeptTurn, type KeyedRecord, type LogFields, PartitionState, type TurnEnd } from '@trefoilshunt/core'
+import { type CachedPart, type GrantRequest, type IRandom, isAccountKey, type RetainedTurn, type KeyedRecord, type LogFields, PartitionState, type TurnEnd } from '@trefoilshunt/core'
 import type { ILogClient } from '../../common/routed/logClient.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 import { AdaptiveTimeout } from './adaptiveTimeout.js'
@@ -40,7 +40,7 @@
 
 export type Grant =
   /** `recorded` resolves to true once the reservation is in the log, false when the partition was lost before. */
-  | { type: 'granted', chain: KeptTurn[], cached: CachedPart[], recorded: Promise<boolean> | undefined }
+  | { type: 'granted', chain: RetainedTurn[], cached: CachedPart[], recorded: Promise<boolean> | undefined }
   | { type: 'spent' }
   | { type: 'noSuchTurn' }
   /** The log takes no records now, or not all turns are read yet. */
@@ -192,12 +192,12 @@
     return outcome
   }
 
-  chainOf (turnId: string): KeptTurn[] | undefined {
+  chainOf (turnId: string): RetainedTurn[] | undefined {
     return this._state.chainOf(turnId)
   }
 
   /** Takes turns of other partitions in. */
-  importTurns (chain: readonly KeptTurn[]): void {
+  importTurns (chain: readonly RetainedTurn[]): void {
     this._queue.appendLazily(this._state.importTurns(chain, Date.now()))
   }
 
@@ -257,7 +257,7 @@
   /** Waits a moment; the next call gets more time, since the log may be slow. */
   private async _delayRecovery (detail: string): Promise<void> {
     this._options.write('partitionRecoveryDelayed', { partition: this.partition, epoch: this.epoch, timeoutMs: this._recoverTimeout.ms, detail })
-    this._recoverTimeout.noteSilence()
+    this._recoverTimeout.recordTimeout()
     await delay(RECOVER_RETRY_MS)
   }
 
--- a/packages/node/src/node/routed/peerMesh.ts
+++ b/packages/node/src/node/routed/peerMesh.ts
@@ -3,7 +3,7 @@
 import { Packr } from 'msgpackr'
 import type { NodeAddress, NodeStatus, PeerReply, PeerRequest } from '../../common/routed/peerMessages.js'
 import { steadyNowMs } from '../steadyClock.js'
-import { silenceLimitMs } from './statusPeriod.js'
+import { heartbeatTimeoutMs } from './statusPeriod.js'
 
 const LENGTH_BYTES = 4
 /** Larger than any chain of turns that a node hands on. */
@@ -134,7 +134,7 @@
     const frame = this._encode({ t: 's', s: status })
     let frameWithPeers: Buffer | undefined
     for (const dialed of this._dialed.values()) {
-      if (dialed.isConnected && nowMs - dialed.lastHeardMs > silenceLimitMs(status.periodMs)) this._drop(dialed, 'silent')
+      if (dialed.isConnected && nowMs - dialed.lastHeardMs > heartbeatTimeoutMs(status.periodMs)) this._drop(dialed, 'silent')
       if (!dialed.isConnected) continue
       const { toldPeers } = dialed
       if (toldPeers !== undefined && (toldPeers.version === peersVersion || nowMs - toldPeers.atMs < this._peersPeriodMs)) {
@@ -171,7 +171,7 @@
   }
 
   /** A request with a single reply; undefined when there was none in time. */
-  async ask (node: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | undefined> {
+  async requestOnce (node: string, request: PeerRequest, timeoutMs: number): Promise<PeerReply | undefined> {
     return await new Promise(resolve => { this.request(node, request, { timeoutMs, onReply: resolve }) })
   }
 
--- a/packages/node/src/node/routed/routeDurations.ts
+++ b/packages/node/src/node/routed/routeDurations.ts
@@ -17,7 +17,7 @@
   }
 
   /** Takes in a duration and returns it relative to the route's mean. */
-  note (route: Route, durationMs: number, events: number): number {
+  record (route: Route, durationMs: number, events: number): number {
     const units = route.kind === RouteKind.Stream ? events : 1
     const perUnitMs = durationMs / units
     const perUnit = resolve(this._perUnit, route.name, perUnitMs)
--- a/packages/node/src/node/routed/routedCall.ts
+++ b/packages/node/src/node/routed/routedCall.ts
@@ -1,11 +1,11 @@
 /** The life of one routed request: route, grant, worker, answer, and the report of its end. */
 import {
-  AttemptFate, type GrantRequest, type LogFields, type NextStep, resolveNextStep, type Route, type RoutedService, RouteKind, type TurnEnd, type WorkerRegistration
+  AttemptOutcome, type GrantRequest, type LogFields, type NextStep, resolveNextStep, type Route, type RoutedService, RouteKind, type TurnEnd, type WorkerRegistration
 } from '@trefoilshunt/core'
 import { type IAnswerSink, type Refusal, RefusalReason, type RoutedRequest } from '../../common/routed/routedRequest.js'
 import { steadyNowMs } from '../steadyClock.js'
 import { AnswerRelay } from './answerRelay.js'
-import type { RoutedCallServices } from './routedCallServices.js'
+import type { RoutedCallDependencies } from './routedCallServices.js'
 import type { GrantedTurn, GrantOutcome } from './turnService.js'
 import { WorkerAttempt } from './workerAttempt.js'
 
@@ -37,7 +37,7 @@
   private _mayHaveRun = false
 
   constructor (
-    private readonly _services: RoutedCallServices,
+    private readonly _services: RoutedCallDependencies,
     private readonly _request: RoutedRequest,
     private readonly _route: Route,
     private readonly _sink: IAnswerSink
@@ -61,17 +61,17 @@
   private get _needsGrant (): boolean {
     const { program } = this._request
     if (this._route.kind !== RouteKind.Stream || program === undefined) return false
-    return program.budgetTokens !== undefined || this._route.keepsTurns
+    return program.budgetTokens !== undefined || this._route.retainsTurns
   }
 
   private async _askForGrant (): Promise<void> {
     const { program, requestId, maxTokens } = this._request
     if (program === undefined) return
     const { programId, budgetTokens } = program
-    const previousTurnId = this._route.keepsTurns ? program.previousTurnId : undefined
+    const previousTurnId = this._route.retainsTurns ? program.previousTurnId : undefined
     const request: GrantRequest = { programId, requestId, previousTurnId, prompt: this._request.prompt, budgetTokens, maxTokens }
     const startedMs = steadyNowMs()
-    const outcome = await this._services.turns.grant(request, this._route.keepsTurns, startedMs + this._timeLeftMs * GRANT_WAIT_SHARE)
+    const outcome = await this._services.turns.grant(request, this._route.retainsTurns, startedMs + this._timeLeftMs * GRANT_WAIT_SHARE)
     const tookMs = steadyNowMs() - startedMs
     this._services.metrics.observeMs('grant_ms', tookMs)
     this._log('grantReceived', { outcome: outcome.type, tookMs: Math.round(tookMs), detail: outcome.type === 'unavailable' ? outcome.detail : undefined })
@@ -200,7 +200,7 @@
   private _onEnd (): void {
     this._sentCount++
     this._attempted?.noteAnswer(this._relay.status, Math.max(1, this._relay.eventCount))
-    this._services.crashes.noteServed(this._request)
+    this._services.crashes.recordServed(this._request)
     this._relay.endRun(() => {
       if (this._relay.isStream && this._grant !== undefined) {
         void this._finishTurn()
@@ -214,7 +214,7 @@
   /** Ends the answer once the turn is recorded, so that it can be continued whatever fails next. */
   private async _finishTurn (): Promise<void> {
     const { program, requestId, body } = this._request
-    if (program === undefined || !this._route.keepsTurns) {
+    if (program === undefined || !this._route.retainsTurns) {
       this._report(this._usedTokens)
       this._finish(this._relay.status)
       return
@@ -222,7 +222,7 @@
     const startedMs = steadyNowMs()
     const end: TurnEnd = {
       ...this._turnEnd(this._usedTokens),
-      turn: { turnId: requestId, programId: program.programId, previousTurnId: program.previousTurnId, input: body, output: this._relay.output, keepMs: this._route.keepTurnsMs, worker: this._attempted?.worker.workerId }
+      turn: { turnId: requestId, programId: program.programId, previousTurnId: program.previousTurnId, input: body, output: this._relay.output, keepMs: this._route.turnRetentionMs, worker: this._attempted?.worker.workerId }
     }
     const outcome = await this._services.turns.end(end, this._expiresAtMs - END_MARGIN_MS)
     this._services.metrics.observeMs('turn_end_ms', steadyNowMs() - startedMs, { outcome })
@@ -235,15 +235,15 @@
     }
   }
 
-  private _onFailed (fate: AttemptFate, detail: string): void {
+  private _onFailed (fate: AttemptOutcome, detail: string): void {
     const worker = this._attempted?.worker
-    if (fate === AttemptFate.NotSent) this._unsentCount++
+    if (fate === AttemptOutcome.NotSent) this._unsentCount++
     else this._sentCount++
-    if (fate === AttemptFate.Unknown) this._mayHaveRun = true
+    if (fate === AttemptOutcome.Unknown) this._mayHaveRun = true
     if (worker !== undefined) this._excluded.add(worker.workerId)
-    if (worker !== undefined && fate === AttemptFate.Unknown) void this._services.crashes.noteBroken(this._request, worker)
+    if (worker !== undefined && fate === AttemptOutcome.Unknown) void this._services.crashes.handleBrokenRequest(this._request, worker)
     this._services.metrics.count('attempts_failed_total', { fate })
-    const reason = fate === AttemptFate.Refused ? RefusalReason.WorkerRefused : RefusalReason.FateUnknown
+    const reason = fate === AttemptOutcome.Refused ? RefusalReason.WorkerRefused : RefusalReason.FateUnknown
     // Events that wait for the reservation go to the caller first: a resumed run must not repeat them.
     this._relay.whenOpen(() => {
       if (this._isDone) return
--- a/packages/node/src/node/routed/routedCallServices.ts
+++ b/packages/node/src/node/routed/routedCallServices.ts
@@ -2,11 +2,11 @@
 import type { IRouteTable, IWorkerChoice, IWorkerRegistry, IWorkerStatistics, LogFields } from '@trefoilshunt/core'
 import type { Metrics } from '../../common/metrics.js'
 import type { IWorkerClient } from '../../common/routed/workerClient.js'
-import type { CrashWatch } from './crashWatch.js'
+import type { PoisonRequestDetector } from './crashWatch.js'
 import type { RouteDurations } from './routeDurations.js'
 import type { TurnService } from './turnService.js'
 
-export interface RoutedCallServices {
+export interface RoutedCallDependencies {
   zone: string
   routes: IRouteTable
   registry: IWorkerRegistry
@@ -15,7 +15,7 @@
   durations: RouteDurations
   workers: IWorkerClient
   turns: TurnService
-  crashes: CrashWatch
+  crashes: PoisonRequestDetector
   metrics: Metrics
   /** Nodes in the system, for the share of a worker's connections. */
   nodeCount: () => number
--- a/packages/node/src/node/routed/routedCalls.ts
+++ b/packages/node/src/node/routed/routedCalls.ts
@@ -1,13 +1,13 @@
 /** Finds the route of a request and starts its call, or refuses it. */
 import { type IAnswerSink, type Refusal, RefusalReason, type RoutedRequest } from '../../common/routed/routedRequest.js'
 import { RoutedCall } from './routedCall.js'
-import type { RoutedCallServices } from './routedCallServices.js'
+import type { RoutedCallDependencies } from './routedCallServices.js'
 
 /** Callers come back after this when the node doesn't know the routes yet, or may know old ones only. */
 const NO_ROUTE_RETRY_AFTER_MS = 300
 
 /** Takes a request; its answer goes to `sink`. */
-export function startRoutedCall (services: RoutedCallServices, request: RoutedRequest, sink: IAnswerSink): void {
+export function startRoutedCall (services: RoutedCallDependencies, request: RoutedRequest, sink: IAnswerSink): void {
   const { routes, write } = services
   const refuse = (refusal: Refusal): void => {
     sink.refuse(refusal)
--- a/packages/node/src/node/routed/routedDaemon.ts
+++ b/packages/node/src/node/routed/routedDaemon.ts
@@ -11,14 +11,14 @@
 import type { IWorkerClient } from '../../common/routed/workerClient.js'
 import type { IEventLog } from '../logger.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
-import { CrashWatch } from './crashWatch.js'
-import { type IRoutedCodec, Knowledge } from './knowledge.js'
+import { PoisonRequestDetector } from './crashWatch.js'
+import { type IRoutedCodec, ClusterView } from './knowledge.js'
 import { NodeDirectory } from './nodeDirectory.js'
 import { PartitionHost } from './partitionHost.js'
 import { PeerMesh, type PeerResponder } from './peerMesh.js'
 import { RouteDurations } from './routeDurations.js'
 import { startRoutedCall } from './routedCalls.js'
-import type { RoutedCallServices } from './routedCallServices.js'
+import type { RoutedCallDependencies } from './routedCallServices.js'
 import { StatusBroadcast } from './statusBroadcast.js'
 import { TurnService } from './turnService.js'
 
@@ -71,10 +71,10 @@
   private readonly _mesh: PeerMesh
   private readonly _host: PartitionHost
   private readonly _turns: TurnService
-  private readonly _knowledge: Knowledge
-  private readonly _crashes: CrashWatch
+  private readonly _knowledge: ClusterView
+  private readonly _crashes: PoisonRequestDetector
   private readonly _broadcast: StatusBroadcast
-  private readonly _services: RoutedCallServices
+  private readonly _services: RoutedCallDependencies
   private readonly _loopDelay = monitorEventLoopDelay({ resolution: 20 })
   private _forgetTimer: NodeJS.Timeout | undefined
   private _openCount = 0
@@ -113,7 +113,7 @@
       onLost: (peer, detail) => {
         write('peerLost', { peer, detail })
         this._statistics.dropPeer(peer)
-        this._directory.noteLost(peer)
+        this._directory.markLost(peer)
       }
     })
     this._broadcast = new StatusBroadcast({ mesh: this._mesh, directory: this._directory, compose: () => this._composeStatus() })
@@ -130,10 +130,10 @@
       onChanged: () => this._broadcast.send(),
       write
     })
-    this._crashes = new CrashWatch({ onSeen: () => this._broadcast.send(), write })
+    this._crashes = new PoisonRequestDetector({ onSeen: () => this._broadcast.send(), write })
     this._turns = new TurnService({ partitionCount: _options.partitionCount, host: this._host, mesh: this._mesh, directory: this._directory, write })
     const { documentTopic, documentKey, workerTopic, codec } = _options
-    this._knowledge = new Knowledge({
+    this._knowledge = new ClusterView({
       node,
       documentTopic,
       documentKey,
@@ -286,7 +286,7 @@
   }
 
   private _takeStatus (status: NodeStatus): void {
-    this._directory.noteStatus(status)
+    this._directory.applyStatus(status)
     this._statistics.setPeerLoad(status.from.node, status.load)
     this._host.noteOwners(status.owned)
     this._crashes.takeSeen(status.crashes ?? [])
--- a/packages/node/src/node/routed/statusPeriod.ts
+++ b/packages/node/src/node/routed/statusPeriod.ts
@@ -9,7 +9,7 @@
 const LATENESS_PERIODS = 1.5
 
 /** Silence after which a peer that sends its status every `periodMs` is taken as gone. */
-export function silenceLimitMs (periodMs: number): number {
+export function heartbeatTimeoutMs (periodMs: number): number {
   return LATENESS_MS + LATENESS_PERIODS * periodMs
 }
 
--- a/packages/node/src/node/routed/topicCopies.ts
+++ b/packages/node/src/node/routed/topicCopies.ts
@@ -6,7 +6,7 @@
 import type { ILogClient } from '../../common/routed/logClient.js'
 import { delay } from '../steadyClock.js'
 
-export const COPY_TOPIC = 'keyed.copies'
+export const SNAPSHOT_TOPIC = 'keyed.copies'
 /** Each is a whole copy: the log may lose touch with some of its partitions. */
 const COPY_PARTITIONS = 3
 /** How often the writer looks for changes. */
@@ -22,7 +22,7 @@
 const SEPARATOR = ' '
 const MAX_KEY_BYTES = 255
 
-export interface TopicCopiesOptions {
+export interface TopicSnapshotsOptions {
   log: ILogClient
   /** The newest records of each topic to copy; undefined while this node has not read all of them from the log. */
   contents: () => ReadonlyMap<string, readonly KeyedRecord[]> | undefined
@@ -37,11 +37,11 @@
  * copies.start()
  * const workers = await copies.read('keyed.servers')
  */
-export class TopicCopies {
+export class TopicSnapshots {
   private _changeCount = 0
   private _isStopped = false
 
-  constructor (private readonly _options: TopicCopiesOptions) {}
+  constructor (private readonly _options: TopicSnapshotsOptions) {}
 
   start (): void {
     for (let partition = 0; partition < COPY_PARTITIONS; partition++) void this._keepCopy(partition)
@@ -104,7 +104,7 @@
     const changes = this._findChanges(copy, contents)
     for (let from = 0; from < changes.length; from += RECORDS_PER_APPEND) {
       const records = changes.slice(from, from + RECORDS_PER_APPEND)
-      const result = await this._options.log.append({ topic: COPY_TOPIC, partition, records, timeoutMs: CALL_TIMEOUT_MS })
+      const result = await this._options.log.append({ topic: SNAPSHOT_TOPIC, partition, records, timeoutMs: CALL_TIMEOUT_MS })
       if (result.type !== 'appended') {
         this._options.write('copyDelayed', { partition, changes: changes.length, detail: 'detail' in result ? result.detail : result.type })
         return false
@@ -141,7 +141,7 @@
     const copy = new Map<string, Uint8Array>()
     let afterKey: string | undefined
     for (;;) {
-      const page = await this._options.log.readNewest({ topic: COPY_TOPIC, partition, afterKey, timeoutMs: CALL_TIMEOUT_MS })
+      const page = await this._options.log.readNewest({ topic: SNAPSHOT_TOPIC, partition, afterKey, timeoutMs: CALL_TIMEOUT_MS })
       if (page.type === 'failed') {
         this._options.write('copyUnreadable', { partition, detail: page.detail })
         return undefined
--- a/packages/node/src/node/routed/turnService.ts
+++ b/packages/node/src/node/routed/turnService.ts
@@ -1,5 +1,5 @@
 /** Grants and ends of turns, at whichever node owns the program's partition. */
-import { type CachedPart, type GrantRequest, hash32, joinChain, type KeptTurn, type LogFields, type TurnEnd } from '@trefoilshunt/core'
+import { type CachedPart, type GrantRequest, hash32, joinChain, type RetainedTurn, type LogFields, type TurnEnd } from '@trefoilshunt/core'
 import type { EndReply, GrantReply, PeerReply, PeerRequest } from '../../common/routed/peerMessages.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 import type { NodeDirectory } from './nodeDirectory.js'
@@ -168,7 +168,7 @@
     const owner = this._options.directory.ownerOf(partition)
     if (owner === undefined) return { type: 'unavailable', detail: 'no owner is known' }
     const timeoutMs = Math.max(OWNER_RETRY_MS, Math.min(OWNER_TIMEOUT_MS * 2, untilMs - steadyNowMs()))
-    const reply = await this._options.mesh.ask(owner, { type: 'end', partition, end }, timeoutMs)
+    const reply = await this._options.mesh.requestOnce(owner, { type: 'end', partition, end }, timeoutMs)
     if (reply?.type === 'ended' || reply?.type === 'unavailable') return reply
     return { type: 'unavailable', detail: `${owner} did not answer` }
   }
@@ -191,7 +191,7 @@
   }
 
   /** Undefined only when every partition was searched by its confirmed owner. */
-  private async _findAnywhere (turnId: string): Promise<KeptTurn[] | undefined | 'uncertain'> {
+  private async _findAnywhere (turnId: string): Promise<RetainedTurn[] | undefined | 'uncertain'> {
     const { mesh, directory, partitionCount } = this._options
     const owners = new Set<string>()
     for (let partition = 0; partition < partitionCount; partition++) {
@@ -200,7 +200,7 @@
     }
     const replies = await Promise.all([
       this._findHere(turnId),
-      ...[...owners].map(async owner => await mesh.ask(owner, { type: 'findChain', turnId }, FIND_TIMEOUT_MS))
+      ...[...owners].map(async owner => await mesh.requestOnce(owner, { type: 'findChain', turnId }, FIND_TIMEOUT_MS))
     ])
     const searched = new Set<number>()
     for (const reply of replies) {
--- a/packages/node/src/node/routed/workerAttempt.ts
+++ b/packages/node/src/node/routed/workerAttempt.ts
@@ -1,8 +1,8 @@
 /** One attempt to have a worker run a request, and what it tells of the worker. */
-import { AttemptFate, type PromptPart, type Route, type WorkerRegistration } from '@trefoilshunt/core'
+import { AttemptOutcome, type PromptPart, type Route, type WorkerRegistration } from '@trefoilshunt/core'
 import type { CallFailure, IOpenWorkerCall, IWorkerCallListener, WorkerCall } from '../../common/routed/workerClient.js'
 import { steadyNowMs } from '../steadyClock.js'
-import type { RoutedCallServices } from './routedCallServices.js'
+import type { RoutedCallDependencies } from './routedCallServices.js'
 
 const SERVER_ERROR = 500
 /** A worker that begins no answer for this long counts as failing, in milliseconds and in expected durations. */
@@ -12,12 +12,12 @@
 const ANSWERED_SEVERITY = 0.5
 
 export interface WorkerAttemptOptions {
-  services: RoutedCallServices
+  services: RoutedCallDependencies
   route: Route
   worker: WorkerRegistration
   prompt: readonly PromptPart[]
   call: WorkerCall
-  listener: Omit<IWorkerCallListener, 'onFailed'> & { onFailed: (fate: AttemptFate, detail: string) => void }
+  listener: Omit<IWorkerCallListener, 'onFailed'> & { onFailed: (fate: AttemptOutcome, detail: string) => void }
 }
 
 /**
@@ -33,7 +33,7 @@
   constructor (private readonly _options: WorkerAttemptOptions) {
     const { services, route, worker, prompt, call, listener } = _options
     services.statistics.begin(worker.workerId)
-    services.statistics.notePrompt(worker.workerId, prompt)
+    services.statistics.recordPrompt(worker.workerId, prompt)
     const silentMs = Math.max(SILENT_MS, SILENT_DURATIONS * services.durations.expectedMs(route))
     this._silenceTimer = setTimeout(() => this._noteFailure(1), silentMs)
     this._openCall = services.workers.call(call, {
@@ -74,7 +74,7 @@
       this._end()
       this._noteFailure(ANSWERED_SEVERITY)
     } else {
-      this._end(durations.note(this._options.route, steadyNowMs() - this._startedMs, events))
+      this._end(durations.record(this._options.route, steadyNowMs() - this._startedMs, events))
     }
   }
 
@@ -84,10 +84,10 @@
     const { services, worker, listener } = this._options
     const fate = fateOf(failure)
     if (failure.type === 'refused' && failure.isMisdirected) {
-      services.registry.noteDenied(worker.workerId, steadyNowMs())
+      services.registry.markMisdirected(worker.workerId, steadyNowMs())
       services.write('workerDenied', { worker: worker.workerId, address: worker.address })
     } else {
-      this._noteFailure(fate === AttemptFate.Refused ? ANSWERED_SEVERITY : 1)
+      this._noteFailure(fate === AttemptOutcome.Refused ? ANSWERED_SEVERITY : 1)
     }
     listener.onFailed(fate, failure.detail)
   }
@@ -98,14 +98,14 @@
   }
 
   private _noteFailure (severity: number): void {
-    this._options.services.statistics.noteFailure(this.worker.workerId, steadyNowMs(), severity)
+    this._options.services.statistics.recordFailure(this.worker.workerId, steadyNowMs(), severity)
   }
 }
 
-function fateOf (failure: CallFailure): AttemptFate {
+function fateOf (failure: CallFailure): AttemptOutcome {
   switch (failure.type) {
-    case 'notSent': return AttemptFate.NotSent
-    case 'refused': return AttemptFate.Refused
-    case 'broken': return AttemptFate.Unknown
+    case 'notSent': return AttemptOutcome.NotSent
+    case 'refused': return AttemptOutcome.Refused
+    case 'broken': return AttemptOutcome.Unknown
   }
 }
--- a/packages/node/test/node/routed/nodeDirectory.test.ts
+++ b/packages/node/test/node/routed/nodeDirectory.test.ts
@@ -20,8 +20,8 @@
 test('a peer counts as alive for some of its own periods, however long they are', () => {
   const clock = { nowMs: 0 }
   const directory = createDirectory(clock)
-  directory.noteStatus(createStatus('fast'))
-  directory.noteStatus(createStatus('slow', { periodMs: 2_000 }))
+  directory.applyStatus(createStatus('fast'))
+  directory.applyStatus(createStatus('slow', { periodMs: 2_000 }))
   clock.nowMs = 1_000
   assert.equal(directory.alive.map(({ from }) => from.node), ['slow'])
   clock.nowMs = 10_000
@@ -31,18 +31,18 @@
 test('a peer whose connection closed is gone at once, with its partitions, until its next status', () => {
   const clock = { nowMs: 0 }
   const directory = createDirectory(clock)
-  directory.noteStatus(createStatus('peer', { owned: [[3, 7]] }))
+  directory.applyStatus(createStatus('peer', { owned: [[3, 7]] }))
   assert.is(directory.ownerOf(3), 'peer')
-  directory.noteLost('peer')
+  directory.markLost('peer')
   assert.is(directory.ownerOf(3), undefined)
   assert.equal(directory.callerAddresses('a', true), ['self'])
-  directory.noteStatus(createStatus('peer', { owned: [[3, 7]] }))
+  directory.applyStatus(createStatus('peer', { owned: [[3, 7]] }))
   assert.is(directory.ownerOf(3), 'peer')
 })
 
 test('callers of a large system are spread over all of its nodes, 64 at a time', () => {
   const directory = createDirectory({ nowMs: 0 })
-  for (let index = 0; index < 150; index++) directory.noteStatus(createStatus(`n${index}`))
+  for (let index = 0; index < 150; index++) directory.applyStatus(createStatus(`n${index}`))
   const given = new Map<string, number>()
   for (let round = 0; round < 30; round++) {
     const addresses = directory.callerAddresses('a', false)
--- a/packages/node/test/node/routed/partitionOwner.test.ts
+++ b/packages/node/test/node/routed/partitionOwner.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import { type GrantRequest, type KeptTurn, SeededRandom, type TurnEnd } from '@trefoilshunt/core'
+import { type GrantRequest, type RetainedTurn, SeededRandom, type TurnEnd } from '@trefoilshunt/core'
 import { EPOCHS_PER_GENERATION, PartitionOwner, TURN_TOPIC } from '../../../src/node/routed/partitionOwner.js'
 import { FakeLog } from './fakeLog.js'
 
@@ -27,7 +27,7 @@
 }
 
 function createEnd (turnId: string, previousTurnId?: string): TurnEnd {
-  const turn: KeptTurn = { turnId, programId: 'p', previousTurnId, input: Buffer.from(turnId), output: Buffer.from('out'), keepMs: 60_000 }
+  const turn: RetainedTurn = { turnId, programId: 'p', previousTurnId, input: Buffer.from(turnId), output: Buffer.from('out'), keepMs: 60_000 }
   return { programId: 'p', requestId: turnId, usedTokens: 10, worker: 'w', prompt: [], turn }
 }
 
--- a/packages/testing/src/common/capacity/slopes.ts
+++ b/packages/testing/src/common/capacity/slopes.ts
@@ -1,5 +1,5 @@
 /** Measures how a node's cost grows with nodes, workers, programs and steps. */
-import { createJournalState, createControlState, foldControlRecord, foldJournalRecord, IMembership, ILeadTable, type LogRecord, type ProgramState, SeededRandom, type StoredRecord, VmRole, VmState } from '@trefoilshunt/core'
+import { createJournalState, createControlState, foldControlRecord, foldJournalRecord, IMembership, ICoordinatorTable, type LogRecord, type ProgramState, SeededRandom, type StoredRecord, VmRole, VmState } from '@trefoilshunt/core'
 import { Fleet } from '../host/fleet.js'
 import { HARROW_DOCUMENT } from '../workload/documents.js'
 import { ProgramDriver } from '../workload/programDriver.js'
@@ -252,12 +252,12 @@
     ...Array.from({ length: 2_400 }, (_, index) => ({ name: `w-${index}`, role: VmRole.Engine, zone: ZONES[index % 6], address: `w${index}`, backend: 'm', state: VmState.Live }))
   ]
   const membership = node.kernel.resolve<IMembership>(IMembership)
-  const leads = node.kernel.resolve<ILeadTable>(ILeadTable)
+  const leads = node.kernel.resolve<ICoordinatorTable>(ICoordinatorTable)
   const durations: number[] = []
   for (let round = 0; round < 7; round++) {
     const startedMs = meter.nowMs()
     membership.setVmList(entries)
-    leads.ledWorkers('m')
+    leads.coordinatedWorkers('m')
     durations.push(meter.nowMs() - startedMs)
   }
   durations.sort((left, right) => left - right)
--- a/packages/testing/src/common/host/fleet.ts
+++ b/packages/testing/src/common/host/fleet.ts
@@ -1,5 +1,5 @@
 /** A fleet in virtual time: nodes, stand-ins and callers joined by links with delays. A test host, not a network model. */
-import { type CallerRequest, type CoreSettings, type Effect, ILeads, type LogFields, type NodeIdentity, SeededRandom, VmRole, VmState } from '@trefoilshunt/core'
+import { type CallerRequest, type CoreSettings, type Effect, IWorkerCoordinator, type LogFields, type NodeIdentity, SeededRandom, VmRole, VmState } from '@trefoilshunt/core'
 import type { ICallerTransport, IClientHost, SendOptions, TransportResult } from '@trefoilshunt/client'
 import { LogService, type LogServiceOptions, type ModelEngine, type ModelEngineOptions, type ToolDatabase, type ToolService, VmList } from '@trefoilshunt/standins'
 import { settlePromises } from '../../node/settlePromises.js'
@@ -245,7 +245,7 @@
   waitingByRank (): { urgent: number, other: number } {
     const waiting = { urgent: 0, other: 0 }
     for (const node of this.liveNodes()) {
-      const leads = node.kernel.resolve<ILeads>(ILeads)
+      const leads = node.kernel.resolve<IWorkerCoordinator>(IWorkerCoordinator)
       for (const worker of this.engines.keys()) {
         const queue = leads.queueOf(worker)
         if (queue === undefined) continue
