--- a/packages/core/src/common/dispatch/index.ts
+++ b/packages/core/src/common/dispatch/index.ts
@@ -1,4 +1,4 @@
-export * from './crashSuspicions.js'
+export * from './suspectRequests.js'
 export * from './modelDispatch.js'
 export * from './outliers.js'
 export * from './quarantine.js'
--- a/packages/core/src/common/dispatch/quarantine.ts
+++ b/packages/core/src/common/dispatch/quarantine.ts
@@ -4,7 +4,7 @@
 import { ILogger } from '../kernel/effectQueue.js'
 import { NodeIdentity } from '../kernel/node.js'
 import { IConfiguration } from '../configuration/configuration.js'
-import { SuspectRequests } from './crashSuspicions.js'
+import { SuspectRequests } from './suspectRequests.js'
 
 const PUBLISH_TIMEOUT_MS = 60_000
 /** Two connections that break under the same request; which of the requests beside it is guilty, only a second crash tells. */
--- a/packages/core/src/common/kernel/effects.ts
+++ b/packages/core/src/common/kernel/effects.ts
@@ -1,6 +1,6 @@
 /** Everything the kernel asks of its host. */
 import type { CallerReply, CallerRequest, ChatMessage } from './callerMessages.js'
-import type { PeerEnvelope } from '../peers/messages.js'
+import type { PeerEnvelope } from '../peers/peerMessages.js'
 import type { LogRecord } from './logRecords.js'
 import type { NodeRef } from './node.js'
 
--- a/packages/core/src/common/kernel/events.ts
+++ b/packages/core/src/common/kernel/events.ts
@@ -1,6 +1,6 @@
 /** Everything a host tells the kernel. */
 import type { CallerReply, CallerRequest, ModelResult, ServiceResult } from './callerMessages.js'
-import type { PeerEnvelope } from '../peers/messages.js'
+import type { PeerEnvelope } from '../peers/peerMessages.js'
 import type { AppendOutcome, ReadOutcome } from './logRecords.js'
 import type { VmEntry } from './node.js'
 
--- a/packages/core/src/common/membership/membership.ts
+++ b/packages/core/src/common/membership/membership.ts
@@ -8,7 +8,7 @@
 import { IRandom } from '../kernel/random.js'
 import { CoreSettings } from '../kernel/settings.js'
 import { ITimers } from '../kernel/timers.js'
-import type { NodeDigest, PeerSender } from '../peers/messages.js'
+import type { NodeDigest, PeerSender } from '../peers/peerMessages.js'
 import { IPeers } from '../peers/peers.js'
 import { WorkerDirectory, type WorkerInfo } from './workerDirectory.js'
 
--- a/packages/core/src/common/peers/index.ts
+++ b/packages/core/src/common/peers/index.ts
@@ -1,2 +1,2 @@
-export * from './messages.js'
+export * from './peerMessages.js'
 export * from './peers.js'
--- a/packages/core/src/common/peers/peers.ts
+++ b/packages/core/src/common/peers/peers.ts
@@ -5,7 +5,7 @@
 import type { IDisposable } from '../kernel/lifecycle.js'
 import { NodeIdentity } from '../kernel/node.js'
 import { ITimers } from '../kernel/timers.js'
-import type { PeerEnvelope, PeerMessage, PeerMessageOf, PeerSender } from './messages.js'
+import type { PeerEnvelope, PeerMessage, PeerMessageOf, PeerSender } from './peerMessages.js'
 
 /** Where a message goes. */
 export interface PeerTarget {
--- a/packages/core/src/common/placement/admission.ts
+++ b/packages/core/src/common/placement/admission.ts
@@ -2,7 +2,7 @@
 import type { CoreSettings } from '../kernel/settings.js'
 import { AdmissionPolicy } from '../kernel/settings.js'
 import { Rank } from '../configuration/document.js'
-import type { KindProfiles, ActivePrograms } from './residents.js'
+import type { KindProfiles, ActivePrograms } from './activePrograms.js'
 import type { RankShares } from './workerQueue.js'
 
 /** Slots that programs of a rank need on average before its floor counts as used: they pause, and do not always fill it. */
--- a/packages/core/src/common/placement/placement.contribution.ts
+++ b/packages/core/src/common/placement/placement.contribution.ts
@@ -1,8 +1,8 @@
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
-import { IWorkerCoordinator, WorkerCoordinator } from './leads.js'
-import { ICoordinatorTable, CoordinatorTable } from './leadTable.js'
+import { IWorkerCoordinator, WorkerCoordinator } from './workerCoordinator.js'
+import { ICoordinatorTable, CoordinatorTable } from './coordinatorTable.js'
 import { IPlacement, Placement } from './placement.js'
-import { ISlotRequester, SlotRequester } from './slots.js'
+import { ISlotRequester, SlotRequester } from './slotRequester.js'
 
 registerPlugin({
   name: 'placement',
--- a/packages/core/src/common/placement/placement.ts
+++ b/packages/core/src/common/placement/placement.ts
@@ -7,12 +7,12 @@
 import { IModelPools } from '../engines/modelPools.js'
 import { IMembership } from '../membership/membership.js'
 import type { WorkerInfo } from '../membership/workerDirectory.js'
-import type { PlacementEstimate } from '../peers/messages.js'
+import type { PlacementEstimate } from '../peers/peerMessages.js'
 import { IPeers } from '../peers/peers.js'
 import { IOutliers } from '../dispatch/outliers.js'
 import { prefillMs, transferMs } from './cacheMove.js'
-import { IWorkerCoordinator } from './leads.js'
-import { ICoordinatorTable } from './leadTable.js'
+import { IWorkerCoordinator } from './workerCoordinator.js'
+import { ICoordinatorTable } from './coordinatorTable.js'
 
 /** Wait that must be saved beyond the prefill before a program leaves its cache. */
 const MOVE_MARGIN_MS = 1_000
--- a/packages/core/src/common/placement/slots.ts
+++ b/packages/core/src/common/placement/slotRequester.ts
@@ -6,10 +6,10 @@
 import { ITimers } from '../kernel/timers.js'
 import type { Rank } from '../configuration/document.js'
 import { IMembership } from '../membership/membership.js'
-import type { SlotReport, SlotRequest } from '../peers/messages.js'
+import type { SlotReport, SlotRequest } from '../peers/peerMessages.js'
 import { IPeers } from '../peers/peers.js'
-import { IWorkerCoordinator, type SlotAnswer } from './leads.js'
-import { ICoordinatorTable } from './leadTable.js'
+import { IWorkerCoordinator, type SlotAnswer } from './workerCoordinator.js'
+import { ICoordinatorTable } from './coordinatorTable.js'
 
 /** A waiting step is announced again after this time, in case a message was lost. */
 const REFRESH_MS = 2_000
--- a/packages/core/src/common/placement/workerQueue.ts
+++ b/packages/core/src/common/placement/workerQueue.ts
@@ -2,7 +2,7 @@
 import { Ewma } from '../base/ewma.js'
 import { type CoreSettings, QueuePolicy } from '../kernel/settings.js'
 import { Rank } from '../configuration/document.js'
-import type { SlotReport } from '../peers/messages.js'
+import type { SlotReport } from '../peers/peerMessages.js'
 import { ConcurrencyLimit } from './concurrencyLimit.js'
 import { CustomerShares } from './customerShares.js'
 
--- a/packages/core/src/common/programs/programs.contribution.ts
+++ b/packages/core/src/common/programs/programs.contribution.ts
@@ -1,5 +1,5 @@
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
-import { IntentResolver } from './claimResolver.js'
+import { IntentResolver } from './intentResolver.js'
 import { IProgramClosing, ProgramClosing } from './programClosing.js'
 import { ProgramOpening } from './programOpening.js'
 import { ProgramRequests } from './programRequests.js'
--- a/packages/node/src/node/routed/knowledge.ts
+++ b/packages/node/src/node/routed/clusterView.ts
@@ -2,11 +2,11 @@
 import type { IRouteTable, IWorkerRegistry, KeyedRecord, LogFields, LogLevel, RouteDocument, WorkerRegistration } from '@trefoilshunt/core'
 import { Packr } from 'msgpackr'
 import type { ILogClient } from '../../common/routed/logClient.js'
-import type { NodeAddress } from '../../common/routed/peerMessages.js'
+import type { NodeAddress } from '../../common/routed/routedPeerMessages.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 import type { NodeDirectory } from './nodeDirectory.js'
 import type { PeerMesh } from './peerMesh.js'
-import { TopicSnapshots } from './topicCopies.js'
+import { TopicSnapshots } from './topicSnapshots.js'
 import { TopicFollower } from './topicFollower.js'
 
 /** Nodes announce themselves here, each under its name. */
--- a/packages/node/src/node/routed/nodeDirectory.ts
+++ b/packages/node/src/node/routed/nodeDirectory.ts
@@ -1,5 +1,5 @@
 /** The nodes of the system as this one sees them: who is alive, who is ready, who owns which partition. */
-import type { NodeAddress, NodeStatus } from '../../common/routed/peerMessages.js'
+import type { NodeAddress, NodeStatus } from '../../common/routed/routedPeerMessages.js'
 import { heartbeatTimeoutMs } from './statusPeriod.js'
 
 /** A peer that was never heard for this long is dropped from the directory. */
--- a/packages/node/src/node/routed/peerMesh.ts
+++ b/packages/node/src/node/routed/peerMesh.ts
@@ -1,7 +1,7 @@
 /** Connections between the nodes: every node dials every other one and sends its status and requests over its own connection. */
 import { createConnection, createServer, type Server, type Socket } from 'node:net'
 import { Packr } from 'msgpackr'
-import type { NodeAddress, NodeStatus, PeerReply, PeerRequest } from '../../common/routed/peerMessages.js'
+import type { NodeAddress, NodeStatus, PeerReply, PeerRequest } from '../../common/routed/routedPeerMessages.js'
 import { steadyNowMs } from '../steadyClock.js'
 import { heartbeatTimeoutMs } from './statusPeriod.js'
 
--- a/packages/node/src/node/routed/crashWatch.ts
+++ b/packages/node/src/node/routed/poisonRequestDetector.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto'
 import { createConnection } from 'node:net'
 import { SuspectRequests, type LogFields, type WorkerRegistration } from '@trefoilshunt/core'
-import type { ObservedCrash } from '../../common/routed/peerMessages.js'
+import type { ObservedCrash } from '../../common/routed/routedPeerMessages.js'
 import type { RoutedRequest } from '../../common/routed/routedRequest.js'
 import { steadyNowMs } from '../steadyClock.js'
 import { splitAddress } from './peerMesh.js'
--- a/packages/node/src/node/routed/routedCall.ts
+++ b/packages/node/src/node/routed/routedCall.ts
@@ -5,7 +5,7 @@
 import { type IAnswerSink, type Refusal, RefusalReason, type RoutedRequest } from '../../common/routed/routedRequest.js'
 import { steadyNowMs } from '../steadyClock.js'
 import { AnswerRelay } from './answerRelay.js'
-import type { RoutedCallDependencies } from './routedCallServices.js'
+import type { RoutedCallDependencies } from './routedCallDependencies.js'
 import type { GrantedTurn, GrantOutcome } from './turnService.js'
 import { WorkerAttempt } from './workerAttempt.js'
 
--- a/packages/node/src/node/routed/routedCallServices.ts
+++ b/packages/node/src/node/routed/routedCallDependencies.ts
@@ -2,7 +2,7 @@
 import type { IRouteTable, IWorkerChoice, IWorkerRegistry, IWorkerStatistics, LogFields } from '@trefoilshunt/core'
 import type { Metrics } from '../../common/metrics.js'
 import type { IWorkerClient } from '../../common/routed/workerClient.js'
-import type { PoisonRequestDetector } from './crashWatch.js'
+import type { PoisonRequestDetector } from './poisonRequestDetector.js'
 import type { RouteDurations } from './routeDurations.js'
 import type { TurnService } from './turnService.js'
 
--- a/packages/node/src/node/routed/routedCalls.ts
+++ b/packages/node/src/node/routed/routedCalls.ts
@@ -1,7 +1,7 @@
 /** Finds the route of a request and starts its call, or refuses it. */
 import { type IAnswerSink, type Refusal, RefusalReason, type RoutedRequest } from '../../common/routed/routedRequest.js'
 import { RoutedCall } from './routedCall.js'
-import type { RoutedCallDependencies } from './routedCallServices.js'
+import type { RoutedCallDependencies } from './routedCallDependencies.js'
 
 /** Callers come back after this when the node doesn't know the routes yet, or may know old ones only. */
 const NO_ROUTE_RETRY_AFTER_MS = 300
--- a/packages/node/src/node/routed/statusBroadcast.ts
+++ b/packages/node/src/node/routed/statusBroadcast.ts
@@ -1,5 +1,5 @@
 /** Tells the peers about this node: at once what matters to callers, the rest periodically. */
-import type { NodeStatus } from '../../common/routed/peerMessages.js'
+import type { NodeStatus } from '../../common/routed/routedPeerMessages.js'
 import { steadyNowMs } from '../steadyClock.js'
 import type { NodeDirectory } from './nodeDirectory.js'
 import type { PeerMesh } from './peerMesh.js'
--- a/packages/node/src/node/routed/turnService.ts
+++ b/packages/node/src/node/routed/turnService.ts
@@ -1,6 +1,6 @@
 /** Grants and ends of turns, at whichever node owns the program's partition. */
 import { type CachedPart, type GrantRequest, hash32, joinChain, type RetainedTurn, type LogFields, type TurnEnd } from '@trefoilshunt/core'
-import type { EndReply, GrantReply, PeerReply, PeerRequest } from '../../common/routed/peerMessages.js'
+import type { EndReply, GrantReply, PeerReply, PeerRequest } from '../../common/routed/routedPeerMessages.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 import type { NodeDirectory } from './nodeDirectory.js'
 import type { PartitionHost } from './partitionHost.js'
--- a/packages/node/src/node/routed/workerAttempt.ts
+++ b/packages/node/src/node/routed/workerAttempt.ts
@@ -2,7 +2,7 @@
 import { AttemptOutcome, type PromptPart, type Route, type WorkerRegistration } from '@trefoilshunt/core'
 import type { CallFailure, IOpenWorkerCall, IWorkerCallListener, WorkerCall } from '../../common/routed/workerClient.js'
 import { steadyNowMs } from '../steadyClock.js'
-import type { RoutedCallDependencies } from './routedCallServices.js'
+import type { RoutedCallDependencies } from './routedCallDependencies.js'
 
 const SERVER_ERROR = 500
 /** A worker that begins no answer for this long counts as failing, in milliseconds and in expected durations. */
--- a/packages/node/test/node/routed/nodeDirectory.test.ts
+++ b/packages/node/test/node/routed/nodeDirectory.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { NodeAddress, NodeStatus } from '../../../src/common/routed/peerMessages.js'
+import type { NodeAddress, NodeStatus } from '../../../src/common/routed/routedPeerMessages.js'
 import { NodeDirectory } from '../../../src/node/routed/nodeDirectory.js'
 
 const PERIOD_MS = 200
--- a/packages/node/test/node/routed/peerMesh.test.ts
+++ b/packages/node/test/node/routed/peerMesh.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
-import type { NodeAddress, NodeStatus } from '../../../src/common/routed/peerMessages.js'
+import type { NodeAddress, NodeStatus } from '../../../src/common/routed/routedPeerMessages.js'
 import { PeerMesh } from '../../../src/node/routed/peerMesh.js'
 
 /** Below the range from which connections get their own ports. */
