--- a/packages/core/src/common/placement/activePrograms.ts
+++ b/packages/core/src/common/placement/activePrograms.ts
@@ -1,53 +1,56 @@
-/** Programs in progress on one worker and the share of its slots that they need. */
+/** Active programs of one worker and the slots that they need, estimated from statistics of each work kind. */
 import { Ewma } from '../base/ewma.js'
 import { Rank } from '../configuration/document.js'
 
-const KIND_WEIGHT = 0.05
+const SAMPLE_WEIGHT = 0.05
 const INITIAL_SERVICE_MS = 3_000
 const INITIAL_PAUSE_MS = 3_000
 const INITIAL_WORK_MS = 15_000
-/** Work left of a program that has used more than its kind's mean, as a share of that mean. */
-const OVERDUE_SHARE = 0.5
-/** Programs that asked for nothing for so long no longer count. */
-const FORGET_AFTER_MS = 120_000
+/** Lower bound of the work that a program is assumed to have left, as a share of its kind's mean. */
+const MIN_WORK_LEFT_SHARE = 0.5
+/** A program without a slot request or release for longer than this no longer counts as active. */
+const INACTIVE_AFTER_MS = 120_000
 
-/** What the steps of a kind look like: time on the engine and time between engine calls. */
+/** Moving averages for each work kind: engine time per call, pause between calls and engine time per program. */
 export class KindProfiles {
   private readonly _serviceMs = new Map<string, Ewma>()
   private readonly _pauseMs = new Map<string, Ewma>()
   private readonly _workMs = new Map<string, Ewma>()
 
-  noteService (kind: string, serviceMs: number): void {
+  /** Adds the engine time of one call. */
+  recordService (kind: string, serviceMs: number): void {
     resolveEwma(this._serviceMs, kind, INITIAL_SERVICE_MS).add(serviceMs)
   }
 
-  notePause (kind: string, pauseMs: number): void {
+  /** Adds the time between the end of a call and the next request of the same program. */
+  recordPause (kind: string, pauseMs: number): void {
     resolveEwma(this._pauseMs, kind, INITIAL_PAUSE_MS).add(pauseMs)
   }
 
-  /** Notes the engine time of a whole program at its end. */
-  noteWork (kind: string, workMs: number): void {
+  /** Adds the engine time of a whole program, known at its end. */
+  recordWork (kind: string, workMs: number): void {
     resolveEwma(this._workMs, kind, INITIAL_WORK_MS).add(workMs)
   }
 
-  /** Engine time of a whole program of the kind. */
-  workOf (kind: string): number {
+  /** Mean engine time of a whole program of the kind, in milliseconds. */
+  workMsOf (kind: string): number {
     return resolveEwma(this._workMs, kind, INITIAL_WORK_MS).value
   }
 
-  /** Share of its life that a program of the kind occupies a slot. */
-  dutyOf (kind: string): number {
+  /** Share of its duration, 0 to 1, for which a program of the kind occupies a slot. */
+  dutyCycleOf (kind: string): number {
     const serviceMs = resolveEwma(this._serviceMs, kind, INITIAL_SERVICE_MS).value
     const pauseMs = resolveEwma(this._pauseMs, kind, INITIAL_PAUSE_MS).value
     return serviceMs / (serviceMs + pauseMs)
   }
 
-  /** Time that a program of the kind takes when it never waits for a slot. */
-  durationOf (kind: string): number {
-    return this.workOf(kind) / this.dutyOf(kind)
+  /** Mean duration of a program of the kind that never waits for a slot, in milliseconds. */
+  durationMsOf (kind: string): number {
+    return this.workMsOf(kind) / this.dutyCycleOf(kind)
   }
 
-  pauseOf (kind: string): number {
+  /** Mean pause between two calls of a program of the kind, in milliseconds. */
+  pauseMsOf (kind: string): number {
     return resolveEwma(this._pauseMs, kind, INITIAL_PAUSE_MS).value
   }
 }
@@ -56,72 +59,77 @@
   kind: string
   rank: Rank
   lastSeenMs: number
+  /** Set between the end of a call and the next request. */
   releasedAtMs?: number
-  /** Engine time used so far. */
+  /** Engine time used so far on this worker. */
   workMs: number
 }
 
+/** The active programs of one worker. Their calls and ends update the given kind profiles. */
 export class ActivePrograms {
-  private readonly _residents = new Map<string, ActiveProgram>()
+  private readonly _programs = new Map<string, ActiveProgram>()
 
   constructor (private readonly _profiles: KindProfiles) {}
 
+  /** Number of active programs of all ranks. */
   get count (): number {
-    return this._residents.size
+    return this._programs.size
   }
 
-  /** Notes that a program uses the worker, or goes on to use it. */
-  noteSeen (programId: string, kind: string, rank: Rank, nowMs: number): void {
-    const resident = this._residents.get(programId)
-    if (resident === undefined) {
-      this._residents.set(programId, { kind, rank, lastSeenMs: nowMs, workMs: 0 })
+  /** Adds a program, or marks it as active again and records the pause since its last release. */
+  recordActivity (programId: string, kind: string, rank: Rank, nowMs: number): void {
+    const program = this._programs.get(programId)
+    if (program === undefined) {
+      this._programs.set(programId, { kind, rank, lastSeenMs: nowMs, workMs: 0 })
       return
     }
-    if (resident.releasedAtMs !== undefined) this._profiles.notePause(kind, nowMs - resident.releasedAtMs)
-    resident.releasedAtMs = undefined
-    resident.lastSeenMs = nowMs
+    if (program.releasedAtMs !== undefined) this._profiles.recordPause(kind, nowMs - program.releasedAtMs)
+    program.releasedAtMs = undefined
+    program.lastSeenMs = nowMs
   }
 
-  noteReleased (programId: string, serviceMs: number, nowMs: number): void {
-    const resident = this._residents.get(programId)
-    if (resident === undefined) return
-    this._profiles.noteService(resident.kind, serviceMs)
-    resident.releasedAtMs = nowMs
-    resident.lastSeenMs = nowMs
-    resident.workMs += serviceMs
+  /** Records the engine time of a finished call; a program that is not active is ignored. */
+  recordRelease (programId: string, serviceMs: number, nowMs: number): void {
+    const program = this._programs.get(programId)
+    if (program === undefined) return
+    this._profiles.recordService(program.kind, serviceMs)
+    program.releasedAtMs = nowMs
+    program.lastSeenMs = nowMs
+    program.workMs += serviceMs
   }
 
-  noteLeft (programId: string): void {
-    const resident = this._residents.get(programId)
-    if (resident === undefined) return
-    this._residents.delete(programId)
-    if (resident.workMs > 0) this._profiles.noteWork(resident.kind, resident.workMs)
+  /** Removes a program and records its total engine time, if it used any. */
+  removeProgram (programId: string): void {
+    const program = this._programs.get(programId)
+    if (program === undefined) return
+    this._programs.delete(programId)
+    if (program.workMs > 0) this._profiles.recordWork(program.kind, program.workMs)
   }
 
-  /** Engine time that the programs of a rank still need, by the mean of their kinds. */
-  workLeftOf (rank: Rank): number {
+  /** Engine time that the programs of a rank are expected to need until their end, in milliseconds. */
+  remainingWorkMsOf (rank: Rank): number {
     let workMs = 0
-    for (const resident of this._residents.values()) {
-      if (resident.rank !== rank) continue
-      const meanMs = this._profiles.workOf(resident.kind)
-      workMs += Math.max(meanMs - resident.workMs, meanMs * OVERDUE_SHARE)
+    for (const program of this._programs.values()) {
+      if (program.rank !== rank) continue
+      const meanMs = this._profiles.workMsOf(program.kind)
+      workMs += Math.max(meanMs - program.workMs, meanMs * MIN_WORK_LEFT_SHARE)
     }
     return workMs
   }
 
   /** Slots that the programs of a rank need on average. */
-  demandOf (rank: Rank): number {
-    let demand = 0
-    for (const resident of this._residents.values()) {
-      if (resident.rank === rank) demand += this._profiles.dutyOf(resident.kind)
+  requiredSlotsOf (rank: Rank): number {
+    let requiredSlots = 0
+    for (const program of this._programs.values()) {
+      if (program.rank === rank) requiredSlots += this._profiles.dutyCycleOf(program.kind)
     }
-    return demand
+    return requiredSlots
   }
 
-  /** Drops programs that have been silent for long. */
-  forgetSilent (nowMs: number): void {
-    for (const [programId, resident] of this._residents) {
-      if (nowMs - resident.lastSeenMs > FORGET_AFTER_MS) this._residents.delete(programId)
+  /** Removes programs without a request or release for more than `INACTIVE_AFTER_MS`. */
+  removeInactive (nowMs: number): void {
+    for (const [programId, program] of this._programs) {
+      if (nowMs - program.lastSeenMs > INACTIVE_AFTER_MS) this._programs.delete(programId)
     }
   }
 }
@@ -129,7 +137,7 @@
 function resolveEwma (averages: Map<string, Ewma>, kind: string, initial: number): Ewma {
   let average = averages.get(kind)
   if (average === undefined) {
-    average = new Ewma(KIND_WEIGHT, initial)
+    average = new Ewma(SAMPLE_WEIGHT, initial)
     averages.set(kind, average)
   }
   return average
--- a/packages/core/src/common/placement/coordinatorTable.ts
+++ b/packages/core/src/common/placement/coordinatorTable.ts
@@ -1,21 +1,27 @@
-/** Which node leads which worker: a pure function of the membership that every node computes alike. */
+/** Assigns each worker to its coordinator, by a pure function of the membership that every node computes alike. */
 import { inject, injectable } from 'tsyringe'
 import { NodeIdentity } from '../kernel/node.js'
 import { resolveOwner } from '../base/rendezvous.js'
 import { IMembership, type PeerInfo } from '../membership/membership.js'
 
-/** Names the lead of each worker. Two nodes may disagree for moments; that costs balance, never safety. */
+/** Resolves the coordinator of each worker. Nodes may briefly disagree, which affects the balance of load but never safety. */
 export interface ICoordinatorTable {
+  /**
+   * Coordinator of a worker: a live node of the worker's zone, or of any zone if there is none; undefined when the worker is
+   * unknown or no node is live.
+   */
   coordinatorOf (worker: string): PeerInfo | undefined
+  /** True when this node coordinates the worker. */
   isCoordinator (worker: string): boolean
-  /** Workers of a back end that this node leads. */
+  /** Workers of a backend that this node coordinates. */
   coordinatedWorkers (backend: string): string[]
 }
-export const ICoordinatorTable = Symbol('ILeadTable')
+export const ICoordinatorTable = Symbol('ICoordinatorTable')
 
 @injectable()
 export class CoordinatorTable implements ICoordinatorTable {
-  private _leads = new Map<string, PeerInfo | undefined>()
+  /** Results by worker, valid until the membership changes. */
+  private _coordinators = new Map<string, PeerInfo | undefined>()
   private _nodesByZone: Map<string, PeerInfo[]> | undefined
 
   constructor (
@@ -23,20 +29,20 @@
     @inject(IMembership) private readonly _membership: IMembership
   ) {
     _membership.onDidChange(() => {
-      this._leads = new Map()
+      this._coordinators = new Map()
       this._nodesByZone = undefined
     })
   }
 
   coordinatorOf (worker: string): PeerInfo | undefined {
-    if (this._leads.has(worker)) return this._leads.get(worker)
-    const info = this._membership.findWorker(worker)
-    if (info === undefined) return undefined
-    const inZone = this._nodesOf(info.zone)
-    const candidates = inZone.length > 0 ? inZone : this._membership.liveNodes()
-    const lead = resolveOwner(worker, candidates, peer => peer.node)
-    this._leads.set(worker, lead)
-    return lead
+    if (this._coordinators.has(worker)) return this._coordinators.get(worker)
+    const workerInfo = this._membership.findWorker(worker)
+    if (workerInfo === undefined) return undefined
+    const nodesInZone = this._nodesOf(workerInfo.zone)
+    const candidates = nodesInZone.length > 0 ? nodesInZone : this._membership.liveNodes()
+    const coordinator = resolveOwner(worker, candidates, peer => peer.node)
+    this._coordinators.set(worker, coordinator)
+    return coordinator
   }
 
   isCoordinator (worker: string): boolean {
@@ -44,16 +50,16 @@
   }
 
   coordinatedWorkers (backend: string): string[] {
-    return this._membership.workers(backend).map(info => info.worker).filter(worker => this.isCoordinator(worker))
+    return this._membership.workers(backend).map(workerInfo => workerInfo.worker).filter(worker => this.isCoordinator(worker))
   }
 
   private _nodesOf (zone: string): PeerInfo[] {
     if (this._nodesByZone === undefined) {
       this._nodesByZone = new Map()
       for (const node of this._membership.liveNodes()) {
-        const list = this._nodesByZone.get(node.zone) ?? []
-        list.push(node)
-        this._nodesByZone.set(node.zone, list)
+        const nodes = this._nodesByZone.get(node.zone) ?? []
+        nodes.push(node)
+        this._nodesByZone.set(node.zone, nodes)
       }
     }
     return this._nodesByZone.get(zone) ?? []
--- a/packages/core/src/common/placement/customerShares.ts
+++ b/packages/core/src/common/placement/customerShares.ts
@@ -1,48 +1,55 @@
 /** Weighted fair sharing between customers by attained service (start-time fair queueing). */
 
 interface Share {
-  /** Service so far over the customer's weight. */
-  attained: number
-  /** Steps of the customer in the queue or running. */
-  present: number
+  /** Service so far in milliseconds, divided by the customer's weight. */
+  attainedService: number
+  /** Arrivals less departures of the customer's steps, never below 0. */
+  activeSteps: number
 }
 
+/** Attained service of each customer at one worker. */
 export class CustomerShares {
   private readonly _shares = new Map<string, Share>()
-  /** No active customer has attained less; newcomers start here and gain nothing from having been away. */
-  private _floor = 0
+  /**
+   * Lower bound of the attained service of customers with active steps. A customer that becomes active starts at least here,
+   * so its inactive time earns no credit.
+   */
+  private _virtualTime = 0
 
   constructor (private readonly _weightOf: (customer: string) => number) {}
 
-  noteArrival (customer: string): void {
-    const share = this._shares.get(customer) ?? { attained: 0, present: 0 }
-    if (share.present === 0) share.attained = Math.max(share.attained, this._floor)
-    share.present++
+  /** Counts a step that enters the queue. */
+  recordArrival (customer: string): void {
+    const share = this._shares.get(customer) ?? { attainedService: 0, activeSteps: 0 }
+    if (share.activeSteps === 0) share.attainedService = Math.max(share.attainedService, this._virtualTime)
+    share.activeSteps++
     this._shares.set(customer, share)
   }
 
-  noteDeparture (customer: string): void {
+  /** Counts a step that has ended or left the queue. */
+  recordDeparture (customer: string): void {
     const share = this._shares.get(customer)
-    if (share !== undefined) share.present = Math.max(0, share.present - 1)
+    if (share !== undefined) share.activeSteps = Math.max(0, share.activeSteps - 1)
   }
 
-  /** Charges service to a customer. */
-  noteService (customer: string, serviceMs: number): void {
-    const share = this._shares.get(customer) ?? { attained: this._floor, present: 0 }
-    share.attained += serviceMs / this._weightOf(customer)
+  /** Adds service to a customer's attained service, divided by the customer's weight. */
+  recordService (customer: string, serviceMs: number): void {
+    const share = this._shares.get(customer) ?? { attainedService: this._virtualTime, activeSteps: 0 }
+    share.attainedService += serviceMs / this._weightOf(customer)
     this._shares.set(customer, share)
-    this._raiseFloor()
+    this._advanceVirtualTime()
   }
 
-  attained (customer: string): number {
-    return this._shares.get(customer)?.attained ?? this._floor
+  /** Service of a customer so far in milliseconds, divided by its weight. */
+  attainedServiceOf (customer: string): number {
+    return this._shares.get(customer)?.attainedService ?? this._virtualTime
   }
 
-  private _raiseFloor (): void {
-    let least = Infinity
+  private _advanceVirtualTime (): void {
+    let leastService = Infinity
     for (const share of this._shares.values()) {
-      if (share.present > 0) least = Math.min(least, share.attained)
+      if (share.activeSteps > 0) leastService = Math.min(leastService, share.attainedService)
     }
-    if (least !== Infinity) this._floor = Math.max(this._floor, least)
+    if (leastService !== Infinity) this._virtualTime = Math.max(this._virtualTime, leastService)
   }
 }
--- a/packages/core/src/common/placement/placement.contribution.ts
+++ b/packages/core/src/common/placement/placement.contribution.ts
@@ -1,3 +1,4 @@
+/** Registers the coordinator of workers, the slot requester and placement. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { IWorkerCoordinator, WorkerCoordinator } from './workerCoordinator.js'
 import { ICoordinatorTable, CoordinatorTable } from './coordinatorTable.js'
@@ -15,12 +16,12 @@
     container.registerSingleton(IPlacement, Placement)
   },
   create (container): IPlugin {
-    const leads = container.resolve(WorkerCoordinator)
-    const slots = container.resolve(SlotRequester)
+    const workerCoordinator = container.resolve(WorkerCoordinator)
+    const slotRequester = container.resolve(SlotRequester)
     return {
       start () {
-        leads.start()
-        slots.start()
+        workerCoordinator.start()
+        slotRequester.start()
       },
       dispose () {}
     }
--- a/packages/core/src/common/placement/placement.ts
+++ b/packages/core/src/common/placement/placement.ts
@@ -1,4 +1,4 @@
-/** Chooses workers: for new programs by offers of several leads, for later steps by where the cache is. */
+/** Chooses workers: for new programs by the estimates of several coordinators, for later steps by the cached conversation. */
 import { inject, injectable } from 'tsyringe'
 import { NodeIdentity } from '../kernel/node.js'
 import { IRandom } from '../kernel/random.js'
@@ -14,11 +14,15 @@
 import { IWorkerCoordinator } from './workerCoordinator.js'
 import { ICoordinatorTable } from './coordinatorTable.js'
 
-/** Wait that must be saved beyond the prefill before a program leaves its cache. */
+/** Wait that a move must save beyond the cost of losing the cache. */
 const MOVE_MARGIN_MS = 1_000
-/** The wait elsewhere must be below this share of the wait here: queues differ by chance, and a prefill delays others. */
+/**
+ * A move must cost less than this share of the wait at the cached worker, because expected waits vary by chance and a
+ * prefill also delays the other calls of the new worker.
+ */
 const MOVE_WAIT_SHARE = 0.5
 
+/** What a step or a new program needs from a worker. */
 export interface WorkerQuery {
   model: string
   /** Worker that holds the conversation in its cache, if any. */
@@ -31,12 +35,18 @@
   excluded: ReadonlySet<string>
 }
 
-/** Decides where work runs. */
+/** Chooses the worker on which a step or a new program runs. */
 export interface IPlacement {
-  /** Chooses the worker for one step; undefined when none is available. */
+  /**
+   * Chooses the worker for one step and passes it to `onChosen`, possibly before this method returns; undefined when none
+   * is available.
+   */
   chooseWorker (query: WorkerQuery, onChosen: (worker: string | undefined) => void): void
-  /** Asks several leads what a new program would meet; best offers first. */
-  collectEstimates (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffers: (offers: PlacementEstimate[]) => void): void
+  /**
+   * Requests placement estimates for `offerSampleSize` random candidates from their coordinators. Passes on the usable
+   * estimates that arrive within `offerTimeoutMs`, the best first.
+   */
+  collectEstimates (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onEstimates: (estimates: PlacementEstimate[]) => void): void
 }
 export const IPlacement = Symbol('IPlacement')
 
@@ -49,8 +59,8 @@
     @inject(CoreSettings) private readonly _settings: CoreSettings,
     @inject(IRandom) private readonly _random: IRandom,
     @inject(IMembership) private readonly _membership: IMembership,
-    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
-    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
+    @inject(ICoordinatorTable) private readonly _coordinators: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _workerCoordinator: IWorkerCoordinator,
     @inject(IPeers) private readonly _peers: IPeers,
     @inject(IOutliers) private readonly _outliers: IOutliers,
     @inject(IModelPools) private readonly _pools: IModelPools
@@ -60,46 +70,47 @@
 
   chooseWorker (query: WorkerQuery, onChosen: (worker: string | undefined) => void): void {
     if (this._settings.placementPolicy === PlacementPolicy.RoundRobin) {
-      onChosen(this._nextInTurn(query))
+      onChosen(this._nextRoundRobin(query))
       return
     }
-    const cached = this._usableCached(query)
+    const cached = this._resolveCachedWorker(query)
     const mayStay = cached !== undefined && this._settings.placementPolicy === PlacementPolicy.Affinity
-    if (mayStay && !this._isWorthLeaving(cached, query)) {
+    if (mayStay && !this._isMoveWorthwhile(cached, query)) {
       onChosen(cached)
       return
     }
-    this.collectEstimates(query, offers => onChosen(this._best(offers, cached, query)))
+    this.collectEstimates(query, estimates => onChosen(this._bestWorker(estimates, cached, query)))
   }
 
-  collectEstimates (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffers: (offers: PlacementEstimate[]) => void): void {
-    const sample = this._sample(query)
-    const offers: PlacementEstimate[] = []
-    let missing = sample.length
-    if (missing === 0) onOffers([])
+  collectEstimates (query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onEstimates: (estimates: PlacementEstimate[]) => void): void {
+    const sample = this._sampleCandidates(query)
+    const estimates: PlacementEstimate[] = []
+    let pendingCount = sample.length
+    if (pendingCount === 0) onEstimates([])
     for (const worker of sample) {
-      this._ask(worker.worker, query, offer => {
-        if (offer?.isUsable === true) offers.push(offer)
-        missing--
-        if (missing === 0) onOffers(offers.sort(compareOffers))
+      this._requestEstimate(worker.worker, query, estimate => {
+        if (estimate?.isUsable === true) estimates.push(estimate)
+        pendingCount--
+        if (pendingCount === 0) onEstimates(estimates.sort(compareEstimates))
       })
     }
   }
 
-  private _ask (worker: string, query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onOffer: (offer: PlacementEstimate | undefined) => void): void {
-    const lead = this._leadTable.coordinatorOf(worker)
-    if (lead === undefined) {
-      onOffer(undefined)
-    } else if (lead.node === this._identity.node) {
-      onOffer(this._leads.estimatePlacement(worker, query.rank, query.kind))
+  private _requestEstimate (worker: string, query: Omit<WorkerQuery, 'cachedWorker' | 'promptTokens'>, onEstimate: (estimate: PlacementEstimate | undefined) => void): void {
+    const coordinator = this._coordinators.coordinatorOf(worker)
+    if (coordinator === undefined) {
+      onEstimate(undefined)
+    } else if (coordinator.node === this._identity.node) {
+      onEstimate(this._workerCoordinator.estimatePlacement(worker, query.rank, query.kind))
     } else {
       const { rank, customer, kind } = query
-      this._peers.request(lead, { type: 'offerRequest', worker, rank, customer, kind }, this._settings.offerTimeoutMs, answer => {
-        onOffer(answer.type === 'answered' && answer.body.type === 'offer' ? answer.body : undefined)
+      this._peers.request(coordinator, { type: 'offerRequest', worker, rank, customer, kind }, this._settings.offerTimeoutMs, answer => {
+        onEstimate(answer.type === 'answered' && answer.body.type === 'offer' ? answer.body : undefined)
       })
     }
   }
 
+  /** Workers that serve the model and are not excluded; ejected ones only when there are no others. */
   private _candidates (query: { model: string, excluded: ReadonlySet<string> }): WorkerInfo[] {
     const workers = this._pools.workersOf(query.model)
     const allowed = workers.filter(worker => !query.excluded.has(worker.worker))
@@ -107,53 +118,57 @@
     return healthy.length > 0 ? healthy : allowed
   }
 
-  private _sample (query: { model: string, excluded: ReadonlySet<string> }): WorkerInfo[] {
+  private _sampleCandidates (query: { model: string, excluded: ReadonlySet<string> }): WorkerInfo[] {
     return this._random.sample(this._candidates(query), this._settings.offerSampleSize)
   }
 
-  private _nextInTurn (query: WorkerQuery): string | undefined {
+  /** Next candidate in round-robin order; undefined when there is none. */
+  private _nextRoundRobin (query: WorkerQuery): string | undefined {
     const candidates = this._candidates(query)
     if (candidates.length === 0) return undefined
     this._lastRoundRobin++
     return candidates[this._lastRoundRobin % candidates.length].worker
   }
 
-  private _usableCached (query: WorkerQuery): string | undefined {
+  /** Worker that holds the conversation in its cache; undefined when it is excluded, ejected or no longer serves the model. */
+  private _resolveCachedWorker (query: WorkerQuery): string | undefined {
     const { cachedWorker } = query
     const isUsable = cachedWorker !== undefined && !query.excluded.has(cachedWorker) &&
-      this._serves(cachedWorker, query.model) && !this._outliers.isEjected(cachedWorker)
+      this._isServing(cachedWorker, query.model) && !this._outliers.isEjected(cachedWorker)
     return isUsable ? cachedWorker : undefined
   }
 
-  private _serves (worker: string, model: string): boolean {
+  private _isServing (worker: string, model: string): boolean {
     const info = this._membership.findWorker(worker)
     return info !== undefined && this._pools.backendOf(info)?.name === model
   }
 
-  /** Only the lead knows the wait, so a step whose lead is elsewhere stays with its cache. */
-  private _isWorthLeaving (cached: string, query: WorkerQuery): boolean {
-    const queue = this._leadTable.isCoordinator(cached) ? this._leads.queueOf(cached) : undefined
+  /** Only the coordinator knows the wait, so a step stays at its cached worker when another node coordinates that worker. */
+  private _isMoveWorthwhile (cached: string, query: WorkerQuery): boolean {
+    const queue = this._coordinators.isCoordinator(cached) ? this._workerCoordinator.queueOf(cached) : undefined
     if (queue === undefined) return false
-    return queue.expectedWaitMs(query.rank) * MOVE_WAIT_SHARE > moveMs(query.promptTokens) + MOVE_MARGIN_MS
+    return queue.expectedWaitMs(query.rank) * MOVE_WAIT_SHARE > cacheLossMs(query.promptTokens) + MOVE_MARGIN_MS
   }
 
-  private _best (offers: PlacementEstimate[], cached: string | undefined, query: WorkerQuery): string | undefined {
-    const best = offers.at(0)
-    if (best === undefined || best.worker === cached) return cached ?? this._nextInTurn({ ...query, cachedWorker: undefined })
+  /** The best estimate's worker, unless moving there costs too much compared with the wait at the cached worker. */
+  private _bestWorker (estimates: PlacementEstimate[], cached: string | undefined, query: WorkerQuery): string | undefined {
+    const best = estimates.at(0)
+    if (best === undefined || best.worker === cached) return cached ?? this._nextRoundRobin({ ...query, cachedWorker: undefined })
     const isAffinity = cached !== undefined && this._settings.placementPolicy === PlacementPolicy.Affinity
     if (!isAffinity) return best.worker
-    const waitMs = this._leads.queueOf(cached)?.expectedWaitMs(query.rank) ?? 0
-    const movedMs = best.expectedWaitMs + moveMs(query.promptTokens) + MOVE_MARGIN_MS
+    const waitMs = this._workerCoordinator.queueOf(cached)?.expectedWaitMs(query.rank) ?? 0
+    const movedMs = best.expectedWaitMs + cacheLossMs(query.promptTokens) + MOVE_MARGIN_MS
     return waitMs * MOVE_WAIT_SHARE > movedMs ? best.worker : cached
   }
 }
 
-/** Time lost when a program leaves its cache: the cheaper of moving it and computing it again. */
-function moveMs (tokens: number): number {
+/** Time that leaving the cache costs: the lower cost of moving the cache and of computing the prompt again. */
+function cacheLossMs (tokens: number): number {
   return Math.min(transferMs(tokens), prefillMs(tokens))
 }
 
-function compareOffers (left: PlacementEstimate, right: PlacementEstimate): number {
+/** Orders estimates by admission, then by expected wait, then by load. */
+function compareEstimates (left: PlacementEstimate, right: PlacementEstimate): number {
   if (left.isAdmitted !== right.isAdmitted) return left.isAdmitted ? -1 : 1
   if (left.expectedWaitMs !== right.expectedWaitMs) return left.expectedWaitMs - right.expectedWaitMs
   return left.load - right.load
--- a/packages/core/test/common/placement/admission.test.ts
+++ b/packages/core/test/common/placement/admission.test.ts
@@ -10,14 +10,14 @@
 function isAdmitted (rank: Rank, load: Load, limit = 10): boolean {
   const profiles = new KindProfiles()
   for (let round = 0; round < 200; round++) {
-    profiles.noteWork('fitting', 20_000)
-    profiles.noteService('fitting', 4_000)
-    profiles.notePause('fitting', 1_000)
+    profiles.recordWork('fitting', 20_000)
+    profiles.recordService('fitting', 4_000)
+    profiles.recordPause('fitting', 1_000)
   }
-  const residents = new ActivePrograms(profiles)
-  for (let index = 0; index < load.urgent; index++) residents.noteSeen(`u${index}`, 'fitting', Rank.Urgent, 0)
-  for (let index = 0; index < load.other; index++) residents.noteSeen(`o${index}`, 'fitting', Rank.Other, 0)
-  return new AdmitByWork({ tailFactor: 1.2, minSlack: 0.1 }).isAdmitted({ rank, kind: 'fitting', targetMs: TARGET_MS, limit, fullLimit: limit, floors: FLOORS, residents, profiles })
+  const activePrograms = new ActivePrograms(profiles)
+  for (let index = 0; index < load.urgent; index++) activePrograms.recordActivity(`u${index}`, 'fitting', Rank.Urgent, 0)
+  for (let index = 0; index < load.other; index++) activePrograms.recordActivity(`o${index}`, 'fitting', Rank.Other, 0)
+  return new AdmitByWork({ tailFactor: 1.2, minSlack: 0.1 }).isAdmitted({ rank, kind: 'fitting', targetMs: TARGET_MS, limit, fullLimit: limit, floors: FLOORS, activePrograms, profiles })
 }
 
 test('an idle worker admits both ranks', () => {
@@ -42,7 +42,7 @@
 
 test('an idle worker admits a program whose work is assumed to exceed its target', () => {
   const profiles = new KindProfiles()
-  const query = { rank: Rank.Other, kind: 'unknown', targetMs: 100, limit: 1, fullLimit: 1, floors: { urgent: 0, other: 0 }, residents: new ActivePrograms(profiles), profiles }
+  const query = { rank: Rank.Other, kind: 'unknown', targetMs: 100, limit: 1, fullLimit: 1, floors: { urgent: 0, other: 0 }, activePrograms: new ActivePrograms(profiles), profiles }
   assert.ok(new AdmitByWork({ tailFactor: 1.5, minSlack: 0.25 }).isAdmitted(query))
 })
 
@@ -51,19 +51,19 @@
 })
 
 test('programs that were silent for long no longer count', () => {
-  const residents = new ActivePrograms(new KindProfiles())
-  residents.noteSeen('p1', 'fitting', Rank.Urgent, 0)
-  residents.forgetSilent(1_000)
-  assert.is(residents.count, 1)
-  residents.forgetSilent(600_000)
-  assert.is(residents.count, 0)
+  const activePrograms = new ActivePrograms(new KindProfiles())
+  activePrograms.recordActivity('p1', 'fitting', Rank.Urgent, 0)
+  activePrograms.removeInactive(1_000)
+  assert.is(activePrograms.count, 1)
+  activePrograms.removeInactive(600_000)
+  assert.is(activePrograms.count, 0)
 })
 
 test('the limit is the concurrency at which the fitted gap meets the target', () => {
   const limit = new ConcurrencyLimit({ initial: 4, min: 2 })
   assert.is(limit.limitFor(50, 64), 4)
   for (let concurrency = 1; concurrency <= 30; concurrency++) {
-    for (let round = 0; round < 5; round++) limit.note(concurrency, 16 + 1.5 * concurrency)
+    for (let round = 0; round < 5; round++) limit.recordCall(concurrency, 16 + 1.5 * concurrency)
   }
   assert.ok(Math.abs(limit.limitFor(46, 64) - 20) <= 1)
   assert.is(limit.limitFor(46, 8), 8)
@@ -71,7 +71,7 @@
 
 test('the limit grows no faster than it was tried', () => {
   const limit = new ConcurrencyLimit({ initial: 4, min: 2 })
-  for (let round = 0; round < 50; round++) limit.note(4, 20)
+  for (let round = 0; round < 50; round++) limit.recordCall(4, 20)
   assert.ok(limit.limitFor(1_000, 64) <= 6)
 })
 
--- a/packages/core/test/common/placement/workerQueue.test.ts
+++ b/packages/core/test/common/placement/workerQueue.test.ts
@@ -23,7 +23,7 @@
     attainedSteps: 1,
     promptTokens: 100,
     isSuspect: false,
-    home: 'regina-1',
+    owner: 'regina-1',
     enqueuedAtMs: 0,
     ...overrides
   }
@@ -32,7 +32,7 @@
 function drain (queue: WorkerQueue, nowMs = 0): string[] {
   const order: string[] = []
   for (;;) {
-    const next = queue.takeNext(nowMs)
+    const next = queue.dequeueNext(nowMs)
     if (next === undefined) return order
     order.push(next.ticket)
     queue.remove(next.ticket, REPORT)
@@ -54,9 +54,9 @@
 test('the other rank gets its floor while urgent work waits', () => {
   const queue = createQueue({ urgent: 0, other: 0.25 }, 4)
   enqueueAll(queue, [item({ rank: Rank.Other }), item({ rank: Rank.Other }), ...Array.from({ length: 6 }, () => item())])
-  const running = [queue.takeNext(0), queue.takeNext(0), queue.takeNext(0), queue.takeNext(0)]
+  const running = [queue.dequeueNext(0), queue.dequeueNext(0), queue.dequeueNext(0), queue.dequeueNext(0)]
   assert.is(running.filter(entry => entry?.rank === Rank.Other).length, 1)
-  assert.is(queue.takeNext(0), undefined)
+  assert.is(queue.dequeueNext(0), undefined)
 })
 
 test('started programs come before new ones, and the earlier target first', () => {
@@ -73,7 +73,7 @@
   const overdue = [item({ dueAtMs: 1_000 }), item({ dueAtMs: 2_000 })]
   const timely = [item(), item(), item()]
   enqueueAll(queue, [...overdue, ...timely])
-  const running = [queue.takeNext(5_000), queue.takeNext(5_000), queue.takeNext(5_000)].map(entry => entry?.ticket)
+  const running = [queue.dequeueNext(5_000), queue.dequeueNext(5_000), queue.dequeueNext(5_000)].map(entry => entry?.ticket)
   assert.equal(running.filter(ticket => overdue.some(entry => entry.ticket === ticket)), [overdue[0].ticket])
 })
 
@@ -81,7 +81,7 @@
   const queue = createQueue({ urgent: 0, other: 0 }, 1)
   const first = item({ isFirstStep: true, customer: 'riders' })
   queue.enqueue(first)
-  queue.takeNext(0)
+  queue.dequeueNext(0)
   const rider = item({ isFirstStep: true, customer: 'riders', dueAtMs: 10_000 })
   const dealer = item({ isFirstStep: true, customer: 'dealers', dueAtMs: 90_000 })
   enqueueAll(queue, [rider, dealer])
@@ -94,7 +94,7 @@
   const suspects = [item({ isSuspect: true }), item({ isSuspect: true })]
   const healthy = item({ dueAtMs: 90_000 })
   enqueueAll(queue, [...suspects, healthy])
-  assert.equal([queue.takeNext(0)?.ticket, queue.takeNext(0)?.ticket, queue.takeNext(0)?.ticket], [suspects[0].ticket, healthy.ticket, undefined])
+  assert.equal([queue.dequeueNext(0)?.ticket, queue.dequeueNext(0)?.ticket, queue.dequeueNext(0)?.ticket], [suspects[0].ticket, healthy.ticket, undefined])
 })
 
 test('work of the other rank stops at a lower concurrency than urgent work', () => {
@@ -102,7 +102,7 @@
   for (let concurrency = 1; concurrency <= 40; concurrency++) {
     for (let round = 0; round < 3; round++) {
       const running = Array.from({ length: concurrency }, () => item())
-      for (const entry of running) queue.adoptInFlight(entry, 0)
+      for (const entry of running) queue.addInFlight(entry, 0)
       for (const entry of running) queue.remove(entry.ticket, { ...REPORT, tokenGapMs: 16 + 1.5 * concurrency })
     }
   }
@@ -113,17 +113,17 @@
 test('an urgent program close to its target holds back other work on its worker, down to the floor', () => {
   const queue = createQueue({ urgent: 0, other: 0.25 }, 4)
   enqueueAll(queue, [item({ dueAtMs: 10_000 }), item({ rank: Rank.Other }), item({ rank: Rank.Other })])
-  assert.is(queue.takeNext(0)?.rank, Rank.Other)
-  assert.is(queue.takeNext(0)?.rank, Rank.Urgent)
-  assert.is(queue.takeNext(0), undefined)
-  assert.is(queue.takeNext(11_000)?.rank, Rank.Other)
+  assert.is(queue.dequeueNext(0)?.rank, Rank.Other)
+  assert.is(queue.dequeueNext(0)?.rank, Rank.Urgent)
+  assert.is(queue.dequeueNext(0), undefined)
+  assert.is(queue.dequeueNext(11_000)?.rank, Rank.Other)
 })
 
 test('a free slot means no wait, a full queue a wait in proportion', () => {
   const queue = createQueue({ urgent: 0, other: 0 }, 1)
   assert.is(queue.expectedWaitMs(Rank.Urgent), 0)
   enqueueAll(queue, [item(), item(), item()])
-  queue.takeNext(0)
+  queue.dequeueNext(0)
   assert.ok(queue.expectedWaitMs(Rank.Urgent) >= 2 * queue.serviceMs)
 })
 
