--- a/packages/core/src/common/placement/customerShares.ts
+++ b/packages/core/src/common/placement/customerShares.ts
@@ -40,7 +40,7 @@
     this._advanceVirtualTime()
   }
 
-  /** Service of a customer so far in milliseconds, divided by its weight. */
+  /** Service of a customer so far in milliseconds, divided by its weight; the current lower bound for an unknown customer. */
   attainedServiceOf (customer: string): number {
     return this._shares.get(customer)?.attainedService ?? this._virtualTime
   }
--- a/packages/core/src/common/placement/workerQueue.ts
+++ b/packages/core/src/common/placement/workerQueue.ts
@@ -198,7 +198,7 @@
     return this._waitingByRank[rank] > 0 && this._inFlightByRank[rank] < Math.ceil(this._options.floors()[rank] * this.limitOf(Rank.Urgent))
   }
 
-  /** Step of a rank that starts next; undefined when the rank has none or is at its limit. */
+  /** Step of a rank that starts next; undefined when none of its steps may start. */
   private _bestWaitingOf (rank: Rank, nowMs: number): QueueItem | undefined {
     const limit = rank === Rank.Other && this._hasUrgentAtRisk(nowMs) ? 0 : this.limitOf(rank)
     const isFull = this._inFlight.size >= limit && !this._isBelowFloor(rank)
--- a/packages/core/src/common/workers/workerRegistry.ts
+++ b/packages/core/src/common/workers/workerRegistry.ts
@@ -1,7 +1,7 @@
-/** The workers that have registered themselves in the log. */
+/** Registry of the workers that have registered themselves in the log. */
 import { Emitter, type Event } from '../kernel/emitter.js'
 
-/** What a worker says of itself. */
+/** Registration that a worker writes about itself. */
 export interface WorkerRegistration {
   workerId: string
   service: string
@@ -10,54 +10,60 @@
   zone: string
   slots: number
   isDraining: boolean
-  /** Start of the worker in Unix time; an id with another start remembers nothing. */
+  /** Start of the worker in Unix time; another start under the same id means a restarted worker that has lost its state. */
   startedAtMs: number
-  /** How much longer the worker is slow after its start. */
+  /** Remaining time for which the worker is slow after its start. */
   coldLeftMs: number
 }
 
-/** Entries that lapsed while the log was away may come back this long after its return. */
+/** Entries that expired while the log was unavailable may be registered again for this long after its return. */
 const LAPSE_GRACE_MS = 2_000
-/** A worker that wasn't at its address is tried again after this, in case that another one had answered for it. */
-const DENIED_MS = 10_000
+/** A worker whose address was answered by another worker is tried again after this, because its registration may still be right. */
+const MISDIRECTED_RETRY_MS = 10_000
 
 interface Entry {
   registration: WorkerRegistration
-  /** Set when the entry was removed at a time at which it may only have lapsed. */
+  /** Set when the entry was removed at a time at which it may have expired only because the log was unavailable. */
   removedAtMs?: number
-  /** Set when another worker was found at the address. */
-  deniedAtMs?: number
+  /** Set when another worker answered at the address. */
+  misdirectedAtMs?: number
 }
 
+/** Tracks the registered workers and which of them may get new work. */
 export interface IWorkerRegistry {
-  /** Fires the last registration of a worker that is gone, leaves or has started anew. */
+  /** Fires with the previous registration of a worker that was removed, is draining or has restarted. */
   readonly onDidLoseWorker: Event<WorkerRegistration>
-  /** Takes a registration; undefined when the entry was removed. */
+  /** Stores a registration; undefined removes it, or only marks it as removed while it may be registered again. */
   update (workerId: string, registration: WorkerRegistration | undefined, nowMs: number): void
-  /** Replaces everything by a full listing. */
+  /** Replaces all entries by a complete listing; entries that it lacks are handled as removed. */
   replaceAll (registrations: readonly WorkerRegistration[], nowMs: number): void
+  /** Keeps entries that are removed from now on in use until the grace time after `handleLogRegained` has passed. */
   handleLogLost (): void
+  /** Starts the grace time, unless the log was available before. */
   handleLogRegained (nowMs: number): void
-  /** Notes that another worker answers at a worker's address: its registration is out of date. */
+  /** Excludes a worker from new work because another worker answered at its address, until it restarts or moves, or for `MISDIRECTED_RETRY_MS`. */
   markMisdirected (workerId: string, nowMs: number): void
-  /** Workers of a service that may get new work. */
+  /** Workers of a service that may get new work. Also removes entries whose grace time has passed. */
   workersOf (service: string, nowMs: number): WorkerRegistration[]
+  /** Last registration of a worker, whether or not it may get new work; undefined when there is none. */
   find (workerId: string): WorkerRegistration | undefined
 }
 export const IWorkerRegistry = Symbol('IWorkerRegistry')
 
 /**
+ * Keeps the registrations in memory.
+ *
  * @example
  * registry.update('i-7f3a', registration, nowMs)
  * registry.workersOf('orders', nowMs)
  */
 export class WorkerRegistry implements IWorkerRegistry {
   private readonly _entries = new Map<string, Entry>()
-  private readonly _lost = new Emitter<WorkerRegistration>()
+  private readonly _onDidLoseWorker = new Emitter<WorkerRegistration>()
   private _isLogLost = false
   private _regainedAtMs = Number.NEGATIVE_INFINITY
 
-  readonly onDidLoseWorker = this._lost.event
+  readonly onDidLoseWorker = this._onDidLoseWorker.event
 
   update (workerId: string, registration: WorkerRegistration | undefined, nowMs: number): void {
     const known = this._entries.get(workerId)
@@ -69,8 +75,8 @@
     }
     const hasRestarted = known !== undefined && known.registration.startedAtMs !== registration.startedAtMs
     const hasMoved = known !== undefined && known.registration.address !== registration.address
-    this._entries.set(workerId, { registration, deniedAtMs: hasRestarted || hasMoved ? undefined : known?.deniedAtMs })
-    if (known !== undefined && (registration.isDraining || hasRestarted)) this._lost.fire(known.registration)
+    this._entries.set(workerId, { registration, misdirectedAtMs: hasRestarted || hasMoved ? undefined : known?.misdirectedAtMs })
+    if (known !== undefined && (registration.isDraining || hasRestarted)) this._onDidLoseWorker.fire(known.registration)
   }
 
   replaceAll (registrations: readonly WorkerRegistration[], nowMs: number): void {
@@ -92,13 +98,13 @@
 
   markMisdirected (workerId: string, nowMs: number): void {
     const known = this._entries.get(workerId)
-    if (known !== undefined) known.deniedAtMs = nowMs
+    if (known !== undefined) known.misdirectedAtMs = nowMs
   }
 
   workersOf (service: string, nowMs: number): WorkerRegistration[] {
     const workers: WorkerRegistration[] = []
-    for (const [workerId, { registration, removedAtMs, deniedAtMs }] of this._entries) {
-      if (deniedAtMs !== undefined && nowMs - deniedAtMs < DENIED_MS) continue
+    for (const [workerId, { registration, removedAtMs, misdirectedAtMs }] of this._entries) {
+      if (misdirectedAtMs !== undefined && nowMs - misdirectedAtMs < MISDIRECTED_RETRY_MS) continue
       if (removedAtMs !== undefined && !this._mayHaveLapsed(nowMs)) {
         this._remove(workerId)
       } else if (registration.service === service && !registration.isDraining) {
@@ -119,6 +125,6 @@
   private _remove (workerId: string): void {
     const known = this._entries.get(workerId)
     this._entries.delete(workerId)
-    if (known !== undefined) this._lost.fire(known.registration)
+    if (known !== undefined) this._onDidLoseWorker.fire(known.registration)
   }
 }
--- a/packages/core/src/common/workers/workerStatistics.ts
+++ b/packages/core/src/common/workers/workerStatistics.ts
@@ -1,42 +1,48 @@
-/** What this node has seen of each worker: requests in flight, durations, failures, cached prompts. */
+/** Statistics of each worker from this node's requests: in flight, durations, failures and cached prompts. */
 import { Ewma } from '../base/ewma.js'
 import type { PromptPart } from '../turns/promptCache.js'
 
-/** Weight of a new duration or failure; about the last fifteen requests count. */
+/** Weight of a new duration or failure; the averages cover about the last fifteen requests. */
 const SAMPLE_WEIGHT = 0.12
-/** Prompt parts remembered for each worker; the least recently used yield. */
+/** Prompt parts recorded for each worker; the least recently used are removed first. */
 const MAX_CACHED_PARTS = 4_000
-/** A failure is forgotten after this, so that a worker that mended gets work again. */
+/** The failure rate is ignored when the last failure is older than this, so that a recovered worker gets work again. */
 const FAILURE_MEMORY_MS = 4_000
 
-interface WorkerFigures {
+/** State of one worker; its averages cover this node's requests only. */
+interface WorkerEntry {
+  /** Requests of this node in flight. */
   inFlight: number
   durationRatio: Ewma
   failureRate: Ewma
   lastFailureAtMs: number
-  /** Tokens of each prompt part that the worker has read. */
+  /** Tokens of each prompt part that the worker has processed, the least recently used part first. */
   cachedParts: Map<string, number>
 }
 
-/** Figures of the workers, as placement uses them. */
+/** Statistics of the workers that the choice of a worker uses. */
 export interface IWorkerStatistics {
+  /** Counts a request as in flight. */
   begin (workerId: string): void
-  /** Ends a request. `ratio` is its duration relative to the mean of its route; absent when it did not run to its end. */
+  /** Ends a request. `ratio` is its duration relative to the mean of its route; undefined when it did not complete. */
   end (workerId: string, ratio?: number): void
-  /** `severity` is 1 for a request that is lost, less for one that was answered with a failure or refused. */
+  /** Adds a failure. `severity` is 1 for a lost request, less for one that was answered with a failure or refused. */
   recordFailure (workerId: string, nowMs: number, severity?: number): void
+  /** Records the parts of a prompt as cached by the worker. */
   recordPrompt (workerId: string, prompt: readonly PromptPart[]): void
-  /** Replaces what a peer has in flight. */
+  /** Replaces the number of a peer's requests in flight by worker. */
   setPeerLoad (peer: string, inFlight: Readonly<Record<string, number>>): void
+  /** Removes the load of a peer. */
   dropPeer (peer: string): void
+  /** Removes the statistics of a worker; while requests are in flight, only its cached prompt parts. */
   forget (workerId: string): void
-  /** Requests of all nodes in flight, as far as known. */
+  /** Requests in flight of this node and of the peers whose load is known. */
   inFlightOf (workerId: string): number
-  /** Own requests in flight by worker. */
+  /** This node's requests in flight by worker; workers without any are left out. */
   ownLoad (): Record<string, number>
-  /** 1 for a worker of ordinary speed, more for a slow one. */
+  /** Mean ratio of the worker's durations to the mean of their routes: 1 for a worker of ordinary speed or an unknown one, more for a slow one. */
   slownessOf (workerId: string): number
-  /** 0 to 1. */
+  /** Mean severity of recent requests, 0 to 1; 0 when the last failure is too old to count. */
   failureRateOf (workerId: string, nowMs: number): number
   /** Tokens of a prompt part that the worker has probably cached. */
   cachedTokensOf (workerId: string, partId: string): number
@@ -44,31 +50,31 @@
 export const IWorkerStatistics = Symbol('IWorkerStatistics')
 
 export class WorkerStatistics implements IWorkerStatistics {
-  private readonly _figures = new Map<string, WorkerFigures>()
+  private readonly _entries = new Map<string, WorkerEntry>()
   private readonly _peerLoads = new Map<string, Readonly<Record<string, number>>>()
-  /** Sums of the peers' loads by worker, so that a choice among many workers needs no look at each peer. */
-  private readonly _peerTotals = new Map<string, number>()
+  /** Sums of the peers' loads by worker, so that a choice among many workers need not iterate over the peers. */
+  private readonly _peerLoadTotals = new Map<string, number>()
 
   begin (workerId: string): void {
-    this._figuresOf(workerId).inFlight++
+    this._resolveEntry(workerId).inFlight++
   }
 
   end (workerId: string, ratio?: number): void {
-    const figures = this._figuresOf(workerId)
-    figures.inFlight = Math.max(0, figures.inFlight - 1)
+    const entry = this._resolveEntry(workerId)
+    entry.inFlight = Math.max(0, entry.inFlight - 1)
     if (ratio === undefined) return
-    figures.durationRatio.add(ratio)
-    figures.failureRate.add(0)
+    entry.durationRatio.add(ratio)
+    entry.failureRate.add(0)
   }
 
   recordFailure (workerId: string, nowMs: number, severity = 1): void {
-    const figures = this._figuresOf(workerId)
-    figures.failureRate.add(severity)
-    figures.lastFailureAtMs = nowMs
+    const entry = this._resolveEntry(workerId)
+    entry.failureRate.add(severity)
+    entry.lastFailureAtMs = nowMs
   }
 
   recordPrompt (workerId: string, prompt: readonly PromptPart[]): void {
-    const { cachedParts } = this._figuresOf(workerId)
+    const { cachedParts } = this._resolveEntry(workerId)
     for (const { id, tokens } of prompt) {
       const known = cachedParts.get(id) ?? 0
       cachedParts.delete(id)
@@ -83,69 +89,69 @@
   setPeerLoad (peer: string, inFlight: Readonly<Record<string, number>>): void {
     this.dropPeer(peer)
     this._peerLoads.set(peer, inFlight)
-    this._addToTotals(inFlight, 1)
+    this._addToPeerLoadTotals(inFlight, 1)
   }
 
   dropPeer (peer: string): void {
     const known = this._peerLoads.get(peer)
     if (known === undefined) return
     this._peerLoads.delete(peer)
-    this._addToTotals(known, -1)
+    this._addToPeerLoadTotals(known, -1)
   }
 
   forget (workerId: string): void {
-    const figures = this._figures.get(workerId)
-    if (figures === undefined) return
-    if (figures.inFlight === 0) this._figures.delete(workerId)
-    else figures.cachedParts.clear()
+    const entry = this._entries.get(workerId)
+    if (entry === undefined) return
+    if (entry.inFlight === 0) this._entries.delete(workerId)
+    else entry.cachedParts.clear()
   }
 
   inFlightOf (workerId: string): number {
-    return (this._figures.get(workerId)?.inFlight ?? 0) + (this._peerTotals.get(workerId) ?? 0)
+    return (this._entries.get(workerId)?.inFlight ?? 0) + (this._peerLoadTotals.get(workerId) ?? 0)
   }
 
   ownLoad (): Record<string, number> {
     const load: Record<string, number> = {}
-    for (const [workerId, { inFlight }] of this._figures) {
+    for (const [workerId, { inFlight }] of this._entries) {
       if (inFlight > 0) load[workerId] = inFlight
     }
     return load
   }
 
   slownessOf (workerId: string): number {
-    return this._figures.get(workerId)?.durationRatio.value ?? 1
+    return this._entries.get(workerId)?.durationRatio.value ?? 1
   }
 
   failureRateOf (workerId: string, nowMs: number): number {
-    const figures = this._figures.get(workerId)
-    if (figures === undefined || nowMs - figures.lastFailureAtMs > FAILURE_MEMORY_MS) return 0
-    return figures.failureRate.value
+    const entry = this._entries.get(workerId)
+    if (entry === undefined || nowMs - entry.lastFailureAtMs > FAILURE_MEMORY_MS) return 0
+    return entry.failureRate.value
   }
 
   cachedTokensOf (workerId: string, partId: string): number {
-    return this._figures.get(workerId)?.cachedParts.get(partId) ?? 0
+    return this._entries.get(workerId)?.cachedParts.get(partId) ?? 0
   }
 
-  private _addToTotals (load: Readonly<Record<string, number>>, factor: 1 | -1): void {
+  private _addToPeerLoadTotals (load: Readonly<Record<string, number>>, factor: 1 | -1): void {
     for (const [workerId, inFlight] of Object.entries(load)) {
-      const total = (this._peerTotals.get(workerId) ?? 0) + factor * inFlight
-      if (total === 0) this._peerTotals.delete(workerId)
-      else this._peerTotals.set(workerId, total)
+      const total = (this._peerLoadTotals.get(workerId) ?? 0) + factor * inFlight
+      if (total === 0) this._peerLoadTotals.delete(workerId)
+      else this._peerLoadTotals.set(workerId, total)
     }
   }
 
-  private _figuresOf (workerId: string): WorkerFigures {
-    let figures = this._figures.get(workerId)
-    if (figures === undefined) {
-      figures = {
+  private _resolveEntry (workerId: string): WorkerEntry {
+    let entry = this._entries.get(workerId)
+    if (entry === undefined) {
+      entry = {
         inFlight: 0,
         durationRatio: new Ewma(SAMPLE_WEIGHT, 1),
         failureRate: new Ewma(SAMPLE_WEIGHT, 0),
         lastFailureAtMs: Number.NEGATIVE_INFINITY,
         cachedParts: new Map()
       }
-      this._figures.set(workerId, figures)
+      this._entries.set(workerId, entry)
     }
-    return figures
+    return entry
   }
 }
--- a/packages/core/src/common/workers/workers.contribution.ts
+++ b/packages/core/src/common/workers/workers.contribution.ts
@@ -1,4 +1,4 @@
-/** Registers the directory, figures and choice of registered workers. */
+/** Registers the registry, the statistics and the choice of routed workers. */
 import { registerPlugin } from '../kernel/plugin.js'
 import { DEFAULT_WORKER_CHOICE, IWorkerChoice, WorkerChoice, WorkerChoiceOptions } from './workerChoice.js'
 import { IWorkerRegistry, WorkerRegistry } from './workerRegistry.js'
--- a/packages/core/test/common/placement/admission.test.ts
+++ b/packages/core/test/common/placement/admission.test.ts
@@ -25,17 +25,17 @@
   assert.ok(isAdmitted(Rank.Other, { urgent: 0, other: 0 }))
 })
 
-test('work beyond what fits the target is refused', () => {
-  // 25 s a program without queues, of which 30 s are reckoned with: 10 slots * 30 s = 300 s of work, 20 s a program.
+test('a program is refused when the remaining work would exceed the target', () => {
+  // 25 s per program without queues, times the tail factor: 30 s. 10 slots * 30 s of slack = 300 s of work, 20 s per program.
   assert.ok(isAdmitted(Rank.Urgent, { urgent: 13, other: 0 }))
   assert.not(isAdmitted(Rank.Urgent, { urgent: 16, other: 0 }))
 })
 
-test('a flood of other work does not shut out urgent programs', () => {
+test('an overload of other work does not exclude urgent programs', () => {
   assert.ok(isAdmitted(Rank.Urgent, { urgent: 5, other: 200 }))
 })
 
-test('the other rank keeps its floor in a flood of urgent work', () => {
+test('the other rank keeps its floor under an overload of urgent work', () => {
   assert.ok(isAdmitted(Rank.Other, { urgent: 200, other: 1 }))
   assert.not(isAdmitted(Rank.Other, { urgent: 200, other: 5 }))
 })
@@ -50,7 +50,7 @@
   assert.ok(new AdmitAll().isAdmitted())
 })
 
-test('programs that were silent for long no longer count', () => {
+test('programs without activity for long no longer count', () => {
   const activePrograms = new ActivePrograms(new KindProfiles())
   activePrograms.recordActivity('p1', 'fitting', Rank.Urgent, 0)
   activePrograms.removeInactive(1_000)
@@ -69,7 +69,7 @@
   assert.is(limit.limitFor(46, 8), 8)
 })
 
-test('the limit grows no faster than it was tried', () => {
+test('the limit exceeds the highest concurrency seen by at most two', () => {
   const limit = new ConcurrencyLimit({ initial: 4, min: 2 })
   for (let round = 0; round < 50; round++) limit.recordCall(4, 20)
   assert.ok(limit.limitFor(1_000, 64) <= 6)
--- a/packages/core/test/common/placement/workerQueue.test.ts
+++ b/packages/core/test/common/placement/workerQueue.test.ts
@@ -61,14 +61,14 @@
 
 test('started programs come before new ones, and the earlier target first', () => {
   const queue = createQueue()
-  const fresh = item({ isFirstStep: true, attainedSteps: 0, dueAtMs: 10_000 })
+  const firstStep = item({ isFirstStep: true, attainedSteps: 0, dueAtMs: 10_000 })
   const late = item({ dueAtMs: 50_000 })
   const soon = item({ dueAtMs: 20_000 })
-  enqueueAll(queue, [fresh, late, soon])
-  assert.equal(drain(queue), [soon.ticket, late.ticket, fresh.ticket])
+  enqueueAll(queue, [firstStep, late, soon])
+  assert.equal(drain(queue), [soon.ticket, late.ticket, firstStep.ticket])
 })
 
-test('programs past their target keep one slot, and no more while others can meet theirs', () => {
+test('programs past their target get one slot, and no more while others can meet theirs', () => {
   const queue = createQueue({ urgent: 0, other: 0 }, 3)
   const overdue = [item({ dueAtMs: 1_000 }), item({ dueAtMs: 2_000 })]
   const timely = [item(), item(), item()]
@@ -82,14 +82,14 @@
   const first = item({ isFirstStep: true, customer: 'riders' })
   queue.enqueue(first)
   queue.dequeueNext(0)
-  const rider = item({ isFirstStep: true, customer: 'riders', dueAtMs: 10_000 })
-  const dealer = item({ isFirstStep: true, customer: 'dealers', dueAtMs: 90_000 })
-  enqueueAll(queue, [rider, dealer])
+  const riderStep = item({ isFirstStep: true, customer: 'riders', dueAtMs: 10_000 })
+  const dealerStep = item({ isFirstStep: true, customer: 'dealers', dueAtMs: 90_000 })
+  enqueueAll(queue, [riderStep, dealerStep])
   queue.remove(first.ticket, REPORT)
-  assert.equal(drain(queue), [dealer.ticket, rider.ticket])
+  assert.equal(drain(queue), [dealerStep.ticket, riderStep.ticket])
 })
 
-test('only one suspect runs on a worker at a time', () => {
+test('only one suspect request runs on a worker at a time', () => {
   const queue = createQueue({ urgent: 0, other: 0 }, 3)
   const suspects = [item({ isSuspect: true }), item({ isSuspect: true })]
   const healthy = item({ dueAtMs: 90_000 })
@@ -97,7 +97,7 @@
   assert.equal([queue.dequeueNext(0)?.ticket, queue.dequeueNext(0)?.ticket, queue.dequeueNext(0)?.ticket], [suspects[0].ticket, healthy.ticket, undefined])
 })
 
-test('work of the other rank stops at a lower concurrency than urgent work', () => {
+test('the concurrency limit of the other rank is lower than that of urgent work', () => {
   const queue = createQueue({ urgent: 0, other: 0 }, 64)
   for (let concurrency = 1; concurrency <= 40; concurrency++) {
     for (let round = 0; round < 3; round++) {
@@ -119,7 +119,7 @@
   assert.is(queue.dequeueNext(11_000)?.rank, Rank.Other)
 })
 
-test('a free slot means no wait, a full queue a wait in proportion', () => {
+test('the expected wait is zero with a free slot and grows with the queue', () => {
   const queue = createQueue({ urgent: 0, other: 0 }, 1)
   assert.is(queue.expectedWaitMs(Rank.Urgent), 0)
   enqueueAll(queue, [item(), item(), item()])
--- a/packages/core/test/common/workers/workers.test.ts
+++ b/packages/core/test/common/workers/workers.test.ts
@@ -25,10 +25,10 @@
   assert.equal(idsOf(registry.workersOf('s', 1)), ['c'])
   assert.equal(lost, ['a', 'b'])
   registry.update('c', createWorker('c', { startedAtMs: 2 }), 2)
-  assert.equal(lost, ['a', 'b', 'c'], 'a restart under the same id forgets what was known')
+  assert.equal(lost, ['a', 'b', 'c'], 'a restart under the same id fires for the previous worker')
 })
 
-test('entries that lapse while the log is away may come back for two seconds', () => {
+test('entries that expire while the log is unavailable stay in use for two seconds after its return', () => {
   const registry = new WorkerRegistry()
   for (const id of ['a', 'b']) registry.update(id, createWorker(id), 0)
   registry.handleLogLost()
@@ -36,22 +36,22 @@
   registry.replaceAll([], 10_000)
   assert.equal(idsOf(registry.workersOf('s', 11_900)), ['a', 'b'])
   registry.update('a', createWorker('a'), 11_950)
-  assert.equal(idsOf(registry.workersOf('s', 12_000)), ['a'], 'one that is still missing is gone')
+  assert.equal(idsOf(registry.workersOf('s', 12_000)), ['a'], 'an entry that is still missing is removed')
 })
 
-test('a registration that another worker answers for is not used until it changes, or for ten seconds', () => {
+test('a registration at whose address another worker answers is not used until the worker restarts, or for ten seconds', () => {
   const registry = new WorkerRegistry()
   for (const id of ['a', 'b']) registry.update(id, createWorker(id), 0)
   registry.markMisdirected('a', 0)
   registry.markMisdirected('b', 0)
   registry.update('a', createWorker('a', { slots: 5 }), 100)
-  assert.equal(idsOf(registry.workersOf('s', 200)), [], 'the same start at the same address stays out')
+  assert.equal(idsOf(registry.workersOf('s', 200)), [], 'a registration with the same start and address stays excluded')
   registry.update('a', createWorker('a', { startedAtMs: 2 }), 300)
   assert.equal(idsOf(registry.workersOf('s', 400)), ['a'])
   assert.equal(idsOf(registry.workersOf('s', 10_000)), ['a', 'b'])
 })
 
-test('a session stays at its worker until the queue there costs more than reading the prompt again', () => {
+test('a session stays at its worker until the queue there costs more than processing the prompt again', () => {
   const statistics = new WorkerStatistics()
   const choice = new WorkerChoice(DEFAULT_WORKER_CHOICE, statistics, new SeededRandom(1))
   const workers = ['w0', 'w1', 'w2', 'w3'].map(id => createWorker(id))
@@ -63,7 +63,7 @@
   assert.is.not(choice.chooseWorker(query)?.workerId, 'w2')
 })
 
-test('a shared prompt settles on a few workers, the same for every node', () => {
+test('a shared prompt is kept on a few workers, the same for every node', () => {
   const workers = Array.from({ length: 8 }, (_, index) => createWorker(`w${index}`, { slots: 12 }))
   const prompt = [{ id: 'shared', tokens: 12_600 }, { id: 'own', tokens: 800 }]
   const chosen = new Set<string>()
@@ -74,7 +74,7 @@
   assert.ok(chosen.size <= DEFAULT_WORKER_CHOICE.prefixCopies, [...chosen].join())
 })
 
-test('load of the peers, slowness and failures turn work away from a worker', () => {
+test('load of the peers, slowness and failures direct work away from a worker', () => {
   const workers = ['w0', 'w1'].map(id => createWorker(id))
   const createChoice = (statistics: WorkerStatistics) => new WorkerChoice(DEFAULT_WORKER_CHOICE, statistics, new SeededRandom(3))
   const loaded = new WorkerStatistics()
@@ -92,7 +92,7 @@
   assert.is(createChoice(failing).chooseWorker(createQuery(workers, { excluded: new Set(['w1']) }))?.workerId, 'w0')
 })
 
-test('the load of all nodes follows each one\'s newest figures and forgets a node that is gone', () => {
+test('the load of all nodes uses the latest report of each node and drops that of a removed node', () => {
   const statistics = new WorkerStatistics()
   statistics.begin('w')
   statistics.setPeerLoad('a', { w: 3, v: 1 })
@@ -105,7 +105,7 @@
   assert.is(statistics.inFlightOf('w'), 3)
 })
 
-test('chance in the lengths of answers does not move work, a worker that is slow for good loses it', () => {
+test('random lengths of answers do not move work, a permanently slow worker loses it', () => {
   const workers = ['w0', 'w1'].map(id => createWorker(id))
   const statistics = new WorkerStatistics()
   const random = new SeededRandom(11)
@@ -125,7 +125,7 @@
   assert.is.not(choice.chooseWorker(createQuery(workers))?.workerId, first)
 })
 
-test('between equal workers one with an idle connection is taken, and a long queue there outweighs it', () => {
+test('among equal workers one with an idle connection is preferred, unless its queue is long', () => {
   const workers = ['w0', 'w1', 'w2'].map(id => createWorker(id))
   const statistics = new WorkerStatistics()
   const choice = new WorkerChoice(DEFAULT_WORKER_CHOICE, statistics, new SeededRandom(7))
