--- a/packages/core/src/common/placement/workerCoordinator.ts
+++ b/packages/core/src/common/placement/workerCoordinator.ts
@@ -32,7 +32,7 @@
 /** Holds the queues of the workers that this node coordinates, grants their slots and admits programs to them. */
 export interface IWorkerCoordinator {
   /**
-   * Puts a step into the worker's queue. `owner` is the node that runs the step. `onAnswer` may be called before this method
+   * Puts a step into the worker's queue. `owner` is the node that owns the step's program. `onAnswer` may be called before this method
    * returns. A repeated request for a waiting ticket replaces its `onAnswer`; for a granted ticket it is granted again.
    * A request with `isHeld` counts the step as running, even above the limit.
    */
--- a/packages/core/src/common/placement/workerQueue.ts
+++ b/packages/core/src/common/placement/workerQueue.ts
@@ -9,7 +9,7 @@
 const SERVICE_WEIGHT = 0.1
 const INITIAL_SERVICE_MS = 3_000
 
-/** A waiting or running step. */
+/** A waiting or running step; fields without a comment have the meaning of those in `SlotRequest`. */
 export interface QueueItem {
   ticket: string
   programId: string
