--- a/packages/core/src/common/dispatch/dispatch.contribution.ts
+++ b/packages/core/src/common/dispatch/dispatch.contribution.ts
@@ -1,3 +1,4 @@
+/** Registers the services that run model and service calls, and subscribes the quarantine to control records. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { IModelDispatch, ModelDispatch } from './modelDispatch.js'
 import { IOutliers, Outliers } from './outliers.js'
--- a/packages/core/src/common/dispatch/index.ts
+++ b/packages/core/src/common/dispatch/index.ts
@@ -1,3 +1,4 @@
+/** Public exports of call dispatch: model and service calls, retries, outlier ejection and quarantine. */
 export * from './suspectRequests.js'
 export * from './modelDispatch.js'
 export * from './outliers.js'
--- a/packages/core/src/common/dispatch/suspectRequests.ts
+++ b/packages/core/src/common/dispatch/suspectRequests.ts
@@ -1,75 +1,81 @@
-/** Requests that were at a worker when it crashed, and the workers that crashed with them. */
+/** Tracks requests that were in flight at a worker when it crashed, to find those that cause crashes (poison requests). */
 
-/** Time after which a suspicion without a further crash is forgotten. */
-const SUSPICION_MS = 600_000
+/** How long a request is suspect after its first recorded crash. Its crashes still count towards the quarantine afterwards. */
+const SUSPICION_DURATION_MS = 600_000
+/** The oldest suspect is removed when there are more. */
 const MAX_SUSPECTS = 10_000
 
-interface Suspicion {
-  /** When each worker crashed. */
-  crashes: Map<string, number>
-  sinceMs: number
+interface SuspectRequest {
+  /** When each worker crashed, by worker. */
+  crashTimesMs: Map<string, number>
+  firstCrashAtMs: number
 }
 
+/** When a request is quarantined. */
 export interface SuspectRequestsOptions {
-  /** Crashes of different workers that prove a request guilty. */
+  /** Crashes of different workers after which a request is taken for their cause and quarantined. */
   crashesToQuarantine: number
-  /** Crashes closer together than this have one cause beside the request, such as a rack without power, and count once. */
+  /** Crashes closer together than this have a common cause, such as a rack without power, and count once. Absent: each counts. */
   spacingMs?: number
 }
 
 /**
+ * Suspect requests and their crashes, by fingerprint. All times are milliseconds of one clock. A quarantine never ends.
+ *
  * @example
- * const suspicions = new CrashSuspicions({ crashesToQuarantine: 2 })
- * suspicions.add('f', 'w1', nowMs)
- * suspicions.add('f', 'w2', nowMs) // true: 'f' is quarantined from now on
+ * const suspects = new SuspectRequests({ crashesToQuarantine: 2 })
+ * suspects.add('f', 'w1', nowMs)
+ * suspects.add('f', 'w2', nowMs) // true: 'f' is quarantined from now on
  */
 export class SuspectRequests {
-  private readonly _suspicions = new Map<string, Suspicion>()
-  private readonly _quarantined = new Set<string>()
+  private readonly _suspects = new Map<string, SuspectRequest>()
+  private readonly _quarantinedFingerprints = new Set<string>()
 
   constructor (private readonly _options: SuspectRequestsOptions) {}
 
-  /** True while no request is suspect, so that none has to be looked up. */
+  /** True while no crashes are recorded; callers may then skip computing a fingerprint. */
   get isEmpty (): boolean {
-    return this._suspicions.size === 0
+    return this._suspects.size === 0
   }
 
-  /** Takes a crash at `nowMs` in; true when it is the one that proves the request guilty. */
-  add (fingerprint: string, worker: string, nowMs: number): boolean {
-    const suspicion = this._suspicions.get(fingerprint) ?? { crashes: new Map<string, number>(), sinceMs: nowMs }
-    if (!suspicion.crashes.has(worker)) suspicion.crashes.set(worker, nowMs)
-    this._suspicions.set(fingerprint, suspicion)
-    if (this._suspicions.size > MAX_SUSPECTS) this._suspicions.delete(this._suspicions.keys().next().value as string)
-    if (this._countSpaced(suspicion) < this._options.crashesToQuarantine || this._quarantined.has(fingerprint)) return false
-    this._quarantined.add(fingerprint)
+  /** Records a crash of a worker that ran the request; true when this crash quarantines it. Only a worker's first crash counts. */
+  add (fingerprint: string, worker: string, crashedAtMs: number): boolean {
+    const suspect = this._suspects.get(fingerprint) ?? { crashTimesMs: new Map<string, number>(), firstCrashAtMs: crashedAtMs }
+    if (!suspect.crashTimesMs.has(worker)) suspect.crashTimesMs.set(worker, crashedAtMs)
+    this._suspects.set(fingerprint, suspect)
+    if (this._suspects.size > MAX_SUSPECTS) this._suspects.delete(this._suspects.keys().next().value as string)
+    if (this._countIndependentCrashes(suspect) < this._options.crashesToQuarantine || this._quarantinedFingerprints.has(fingerprint)) return false
+    this._quarantinedFingerprints.add(fingerprint)
     return true
   }
 
-  /** Clears a suspect that a worker has served; false when there was no suspicion. */
+  /** Removes the crashes of a request that a worker has served; false when there were none. */
   clear (fingerprint: string): boolean {
-    return this._suspicions.delete(fingerprint)
+    return this._suspects.delete(fingerprint)
   }
 
+  /** True while the request's first recorded crash is less than 10 minutes old. */
   isSuspect (fingerprint: string, nowMs: number): boolean {
-    const suspicion = this._suspicions.get(fingerprint)
-    return suspicion !== undefined && nowMs - suspicion.sinceMs < SUSPICION_MS
+    const suspect = this._suspects.get(fingerprint)
+    return suspect !== undefined && nowMs - suspect.firstCrashAtMs < SUSPICION_DURATION_MS
   }
 
   /** Workers that crashed while they ran the request. */
   crashedWorkers (fingerprint: string): Iterable<string> {
-    return this._suspicions.get(fingerprint)?.crashes.keys() ?? []
+    return this._suspects.get(fingerprint)?.crashTimesMs.keys() ?? []
   }
 
   /** True when no worker should get the request again. */
   isQuarantined (fingerprint: string): boolean {
-    return this._quarantined.has(fingerprint)
+    return this._quarantinedFingerprints.has(fingerprint)
   }
 
-  private _countSpaced ({ crashes }: Suspicion): number {
+  /** Counts crashes that are at least `spacingMs` apart. */
+  private _countIndependentCrashes ({ crashTimesMs }: SuspectRequest): number {
     const { spacingMs = 0 } = this._options
     let count = 0
     let lastMs = Number.NEGATIVE_INFINITY
-    for (const atMs of [...crashes.values()].sort((left, right) => left - right)) {
+    for (const atMs of [...crashTimesMs.values()].sort((left, right) => left - right)) {
       if (atMs - lastMs < spacingMs) continue
       count++
       lastMs = atMs
