--- a/packages/core/src/common/turns/index.ts
+++ b/packages/core/src/common/turns/index.ts
@@ -1,3 +1,4 @@
+/** Public exports of the partition state: retained turns, token accounts and their records. */
 export * from './partitionState.js'
 export * from './promptCache.js'
 export * from './tokenLedger.js'
--- a/packages/core/src/common/turns/partitionState.ts
+++ b/packages/core/src/common/turns/partitionState.ts
@@ -1,48 +1,59 @@
-/** What the owner of a partition holds in memory: turns and token accounts, rebuilt from the records of the log. */
-import { type CachedPart, PromptCache, type PromptPart } from './promptCache.js'
+/** In-memory state of one partition at its owner: turns and token accounts, rebuilt from the records of the log. */
+import { type CachedPart, PromptCacheIndex, type PromptPart } from './promptCache.js'
 import { committedTokens, type ProgramAccount, TokenLedger, TokenReservation } from './tokenLedger.js'
-import { decodeRecord, decodeTurn, encodeAccount, encodeTurn, type KeyedRecord, removeAccount, removeTurn } from './turnRecords.js'
+import { decodeRecord, decodeTurn, encodeAccount, encodeAccountRemoval, encodeTurn, encodeTurnRemoval, type KeyedRecord } from './turnRecords.js'
 import { type RetainedTurn, TurnTree } from './turnTree.js'
 
-/** Accounts without a change for this long belong to programs that are gone. */
-const ACCOUNT_KEEP_MS = 300_000
+/** An account that has not changed for this long is removed; its program is taken to have ended. */
+const ACCOUNT_RETENTION_MS = 300_000
 
-/** What an entry node asks of the owner before it runs a turn. */
+/** Request of an entry node to the partition owner for permission to run a turn. */
 export interface GrantRequest {
   programId: string
   requestId: string
+  /** The turn to continue; absent for a turn without history. */
   previousTurnId?: string
   prompt: PromptPart[]
   /** Absent when the program has no budget. */
   budgetTokens?: number
+  /** The most tokens that the turn may generate. */
   maxTokens: number
 }
 
+/** Decision on a turn. */
 export type GrantDecision =
-  /** `records` must be in the log before the caller gets a token. */
+  /**
+   * The turn may run. `chain` are the turns that it continues, oldest first; `cached` the parts of its prompt that a worker
+   * probably has in its cache. `records` must be in the log before the caller gets a token.
+   */
   | { type: 'granted', chain: RetainedTurn[], records: KeyedRecord[], cached: CachedPart[] }
+  /** The budget does not cover the turn. */
   | { type: 'spent' }
+  /** The previous turn, or one before it, is not held. */
   | { type: 'noSuchTurn' }
 
-/** How a turn ended, as the entry node that ran it reports. */
+/** Report of the entry node on a turn that has ended. */
 export interface TurnEnd {
   programId: string
   requestId: string
+  /** Tokens that the caller was given. */
   usedTokens: number
   /** Absent when no worker ran the turn. */
   worker?: string
-  /** The prompt as the worker holds it now, with what it generated. */
+  /** The prompt that the worker now has in its cache, with the generated text. */
   prompt: PromptPart[]
-  /** Present when the answer is whole and the route keeps turns. */
+  /** Present when the answer is complete and the route retains turns. */
   turn?: RetainedTurn
 }
 
 export interface PartitionStateOptions {
+  /** Largest record that the log accepts; larger turns are split. */
   maxRecordBytes: number
 }
 
 /**
- * Folds the records of one partition and decides on turns. Pure: times come in with each call.
+ * Applies the records of one partition and decides on its turns. It has no clock and no I/O: the caller passes wall-clock
+ * times in milliseconds and appends the returned records to the log.
  *
  * @example
  * const decision = state.grant(request, nowMs)
@@ -51,9 +62,10 @@
 export class PartitionState {
   private readonly _turns = new TurnTree()
   private readonly _ledger = new TokenLedger()
-  private readonly _changedAtMs = new Map<string, number>()
-  private readonly _promptCache = new PromptCache()
-  private readonly _parts = new Map<string, Array<Uint8Array | undefined>>()
+  private readonly _accountChangedAtMs = new Map<string, number>()
+  private readonly _promptCache = new PromptCacheIndex()
+  /** Parts of turns of which some are not read yet, by turn id. */
+  private readonly _incompleteTurns = new Map<string, Array<Uint8Array | undefined>>()
 
   constructor (private readonly _options: PartitionStateOptions) {}
 
@@ -61,15 +73,17 @@
     return this._turns.size
   }
 
+  /** Bytes of inputs and outputs of all turns held. */
   get turnBytes (): number {
     return this._turns.bytes
   }
 
+  /** Programs that have a token account. */
   get programCount (): number {
     return this._ledger.size
   }
 
-  /** Takes a record that was read back; false when it is damaged. */
+  /** Applies a record that was read from the log; false when it is damaged. */
   fold (value: Uint8Array, nowMs: number): boolean {
     const record = decodeRecord(value)
     if (record === undefined) return false
@@ -77,23 +91,23 @@
       this._restoreAccount(record.programId, record.account, nowMs)
       return true
     }
-    const parts = this._parts.get(record.turnId) ?? new Array<Uint8Array | undefined>(record.count).fill(undefined)
+    const parts = this._incompleteTurns.get(record.turnId) ?? new Array<Uint8Array | undefined>(record.count).fill(undefined)
     parts[record.index] = record.bytes
-    this._parts.set(record.turnId, parts)
+    this._incompleteTurns.set(record.turnId, parts)
     if (parts.some(part => part === undefined)) return true
-    this._parts.delete(record.turnId)
-    const turn = decodeTurn(parts.length === 1 ? parts[0] as Uint8Array : concat(parts as Uint8Array[]))
+    this._incompleteTurns.delete(record.turnId)
+    const turn = decodeTurn(parts.length === 1 ? parts[0] as Uint8Array : concatBytes(parts as Uint8Array[]))
     if (turn !== undefined) this._turns.add(turn, nowMs)
     return turn !== undefined
   }
 
-  /** Tokens that a program has used and reserved. */
+  /** Tokens that a program has used and reserved; 0 for an unknown program. */
   committedOf (programId: string): number {
     const account = this._ledger.find(programId)
     return account === undefined ? 0 : committedTokens(account)
   }
 
-  /** True when granting the turn needs no record. */
+  /** True when the turn can be granted without a new record. */
   isCovered ({ programId, requestId, budgetTokens, maxTokens }: GrantRequest): boolean {
     return budgetTokens === undefined || this._ledger.isCovered({ programId, requestId, budgetTokens, maxTokens })
   }
@@ -112,64 +126,68 @@
     return { type: 'granted', chain, records, cached: this._promptCache.find(prompt) }
   }
 
-  /** Takes in the end of a turn and returns what has to be recorded. */
-  end (end: TurnEnd, nowMs: number): KeyedRecord[] {
+  /** Applies the end of a turn and returns the records to append; none when nothing changes, as for a repeated report. */
+  end (turnEnd: TurnEnd, nowMs: number): KeyedRecord[] {
     const records: KeyedRecord[] = []
-    if (end.turn !== undefined && !this._turns.has(end.turn.turnId)) {
-      this._turns.add(end.turn, nowMs)
-      records.push(...encodeTurn(end.turn, this._options.maxRecordBytes))
+    if (turnEnd.turn !== undefined && !this._turns.has(turnEnd.turn.turnId)) {
+      this._turns.add(turnEnd.turn, nowMs)
+      records.push(...encodeTurn(turnEnd.turn, this._options.maxRecordBytes))
     }
-    if (end.worker !== undefined) this._promptCache.recordPrompt(end.worker, end.prompt)
-    if (this._ledger.settle(end.programId, end.requestId, end.usedTokens)) {
-      // Nobody waits for the record of a turn that isn't kept, so nothing may rest on it.
-      if (end.turn !== undefined) this._ledger.allowAhead(end.programId)
-      records.push(...this._accountRecords(end.programId, nowMs))
+    if (turnEnd.worker !== undefined) this._promptCache.recordPrompt(turnEnd.worker, turnEnd.prompt)
+    if (this._ledger.reconcile(turnEnd.programId, turnEnd.requestId, turnEnd.usedTokens)) {
+      // The entry node does not wait for the record of a turn that is not retained, so that record must not allow more tokens.
+      if (turnEnd.turn !== undefined) this._ledger.extendAllowance(turnEnd.programId)
+      records.push(...this._accountRecords(turnEnd.programId, nowMs))
     }
     return records
   }
 
-  /** Makes the accounts exact for the next owner. */
+  /**
+   * Withdraws unused allowances and returns the accounts' records. Without them the next owner has to count each allowance as
+   * used.
+   */
   seal (nowMs: number): KeyedRecord[] {
-    return this._ledger.seal().flatMap(programId => this._accountRecords(programId, nowMs))
+    return this._ledger.withdrawAllowances().flatMap(programId => this._accountRecords(programId, nowMs))
   }
 
-  /** Takes turns of another partition that a program here continues. */
+  /** Adds turns of another partition that a program of this one continues, and returns the records of those not held yet. */
   importTurns (chain: readonly RetainedTurn[], nowMs: number): KeyedRecord[] {
-    const missing = chain.filter(turn => !this._turns.has(turn.turnId))
-    for (const turn of missing) this._turns.add(turn, nowMs)
-    return missing.flatMap(turn => encodeTurn(turn, this._options.maxRecordBytes))
+    const missingTurns = chain.filter(turn => !this._turns.has(turn.turnId))
+    for (const turn of missingTurns) this._turns.add(turn, nowMs)
+    return missingTurns.flatMap(turn => encodeTurn(turn, this._options.maxRecordBytes))
   }
 
+  /** The turns from the first to `turnId`; undefined when one of them is not held. */
   chainOf (turnId: string): RetainedTurn[] | undefined {
     return this._turns.chainOf(turnId)
   }
 
-  /** Forgets what is past its time and returns the records that remove it. */
+  /** Removes turns and accounts whose retention has ended and returns the records that remove them from the log. */
   expire (nowMs: number): KeyedRecord[] {
-    const records = this._turns.expire(nowMs).flatMap(turn => removeTurn(turn, this._options.maxRecordBytes))
-    for (const [programId, changedAtMs] of this._changedAtMs) {
-      if (nowMs - changedAtMs < ACCOUNT_KEEP_MS) continue
-      this._changedAtMs.delete(programId)
-      this._ledger.drop(programId)
-      records.push(removeAccount(programId))
+    const records = this._turns.expire(nowMs).flatMap(turn => encodeTurnRemoval(turn, this._options.maxRecordBytes))
+    for (const [programId, changedAtMs] of this._accountChangedAtMs) {
+      if (nowMs - changedAtMs < ACCOUNT_RETENTION_MS) continue
+      this._accountChangedAtMs.delete(programId)
+      this._ledger.remove(programId)
+      records.push(encodeAccountRemoval(programId))
     }
     return records
   }
 
   private _restoreAccount (programId: string, account: ProgramAccount, nowMs: number): void {
     this._ledger.restore(programId, account)
-    this._changedAtMs.set(programId, nowMs)
+    this._accountChangedAtMs.set(programId, nowMs)
   }
 
   private _accountRecords (programId: string, nowMs: number): KeyedRecord[] {
     const account = this._ledger.find(programId)
     if (account === undefined) return []
-    this._changedAtMs.set(programId, nowMs)
+    this._accountChangedAtMs.set(programId, nowMs)
     return [encodeAccount(programId, account, nowMs)]
   }
 }
 
-function concat (parts: Uint8Array[]): Uint8Array {
+function concatBytes (parts: Uint8Array[]): Uint8Array {
   const joined = new Uint8Array(parts.reduce((total, part) => total + part.length, 0))
   let offset = 0
   for (const part of parts) {
--- a/packages/core/src/common/turns/promptCache.ts
+++ b/packages/core/src/common/turns/promptCache.ts
@@ -1,6 +1,6 @@
-/** Where the prompts of a partition's programs are cached, as far as the ends of turns have told. */
+/** Index of the workers that probably have parts of prompts in their caches, filled from the reported ends of turns. */
 
-/** One part of a prompt; requests share the leading parts. */
+/** One part of a prompt. Requests with the same beginning share their leading parts, by id. */
 export interface PromptPart {
   id: string
   tokens: number
@@ -11,31 +11,33 @@
   worker: string
 }
 
-/** Parts that are remembered; the oldest yield. */
-const MAX_PARTS = 20_000
+/** The parts that were reported least recently are removed when there are more. */
+const MAX_INDEXED_PARTS = 20_000
 
 /**
- * Remembers the last worker of every part but the first of each prompt: the first is shared by many programs and lies on
+ * Stores the last worker of every part of a prompt except the first: that one is shared by many programs and cached on
  * several workers.
  *
  * @example
- * cache.note('i-7f3a', prompt)
- * cache.find(nextPrompt) // the parts that some worker holds already
+ * index.recordPrompt('i-7f3a', prompt)
+ * index.find(nextPrompt) // the parts that a worker has probably cached
  */
-export class PromptCache {
+export class PromptCacheIndex {
   private readonly _parts = new Map<string, CachedPart>()
 
+  /** Records that the worker has the prompt in its cache. */
   recordPrompt (worker: string, prompt: readonly PromptPart[]): void {
     for (const part of prompt.slice(1)) {
       this._parts.delete(part.id)
       this._parts.set(part.id, { ...part, worker })
     }
     for (const id of this._parts.keys()) {
-      if (this._parts.size <= MAX_PARTS) return
+      if (this._parts.size <= MAX_INDEXED_PARTS) return
       this._parts.delete(id)
     }
   }
 
+  /** The known parts of the prompt, in its order, each with its worker and its number of tokens at the last report. */
   find (prompt: readonly PromptPart[]): CachedPart[] {
     return prompt.flatMap(({ id }) => {
       const part = this._parts.get(id)
--- a/packages/core/src/common/turns/tokenLedger.ts
+++ b/packages/core/src/common/turns/tokenLedger.ts
@@ -1,16 +1,18 @@
-/** Tokens that programs have used, reserved, and may use before the next record. */
+/** Token accounts of programs: tokens used, reserved by running turns, and allowed before the next record. */
 
-/** What one program has spent of its budget. */
+/** Token account of one program. */
 export interface ProgramAccount {
+  /** Tokens of turns that have ended. */
   usedTokens: number
-  /** Most tokens of each turn whose end isn't known, by request id. */
+  /** Reserved tokens, the maximum of each turn whose end is not known, by request id. */
   openTurns: Map<string, number>
-  /** What the newest record of the account allows: used, open, and some ahead. */
+  /** Total that the newest record of the account allows: used and reserved tokens, and an allowance for further turns. */
   allowedTokens: number
-  /** As the program's last turn stated it. */
+  /** Budget that the program's newest turn stated. */
   budgetTokens: number
 }
 
+/** A turn that needs a reservation. */
 export interface ReserveOptions {
   programId: string
   requestId: string
@@ -20,8 +22,9 @@
   maxTokens: number
 }
 
+/** Result of a reservation. */
 export const TokenReservation = {
-  /** The budget doesn't hold the turn at its maximum beside all open ones. */
+  /** The budget does not cover the turn's maximum in addition to the used and reserved tokens. */
   Spent: 'spent',
   /** The newest record of the account covers the turn. */
   Covered: 'covered',
@@ -30,18 +33,19 @@
 } as const
 export type TokenReservation = typeof TokenReservation[keyof typeof TokenReservation]
 
-/** Open entry for tokens that an earlier owner had allowed and that may have been used. */
-const UNKNOWN_USE = ''
+/** Key in `openTurns` for tokens that an earlier owner had allowed and that may have been used. */
+const UNKNOWN_USE_ID = ''
 /**
- * Part of what is left of a budget that a record allows ahead, so that most turns need no record of their own and programs
- * go on while the log is down. All of it counts as used if the owner dies; programs need about half of their budgets.
+ * Share of the remaining budget that a record allows in advance. Most turns then need no record of their own, and programs
+ * continue while the log is down. The whole allowance counts as used if the owner crashes. Programs need about half of their
+ * budgets.
  */
-const SHARE_AHEAD = 0.5
+const ALLOWANCE_SHARE = 0.5
 
 /**
- * Accounts of the programs of one partition. A turn reserves its maximum before it runs and settles what its caller was
- * given. A record allows a little more than is reserved; after a takeover all of that counts as used. So the sum never
- * passes the budget, whatever happens to the nodes in between.
+ * Accounts of the programs of one partition. A turn reserves its maximum before it runs; its end replaces the reservation by
+ * the tokens that the caller was given. A record allows more than is reserved, and after a takeover all of it counts as used.
+ * The total therefore never exceeds the budget, even when nodes crash.
  *
  * @example
  * const ledger = new TokenLedger()
@@ -50,14 +54,17 @@
 export class TokenLedger {
   private readonly _accounts = new Map<string, ProgramAccount>()
 
+  /** Number of accounts. */
   get size (): number {
     return this._accounts.size
   }
 
+  /** The account of a program; undefined when it has none. */
   find (programId: string): ProgramAccount | undefined {
     return this._accounts.get(programId)
   }
 
+  /** Reserves the maximum of a turn. A repeated request keeps its first reservation. */
   reserve ({ programId, requestId, budgetTokens, maxTokens }: ReserveOptions): TokenReservation {
     const account = this._accounts.get(programId) ?? { usedTokens: 0, openTurns: new Map<string, number>(), allowedTokens: 0, budgetTokens }
     if (account.openTurns.has(requestId)) return TokenReservation.Covered
@@ -67,59 +74,59 @@
     account.budgetTokens = budgetTokens
     this._accounts.set(programId, account)
     if (committed <= account.allowedTokens) return TokenReservation.Covered
-    this.allowAhead(programId)
+    this.extendAllowance(programId)
     return TokenReservation.Extended
   }
 
-  /** True when the newest record covers the turn, so that it needs no other. */
+  /** True when the newest record covers the turn, which then needs no record of its own. */
   isCovered ({ programId, requestId, maxTokens }: ReserveOptions): boolean {
     const account = this._accounts.get(programId)
     if (account === undefined) return false
     return account.openTurns.has(requestId) || committedTokens(account) + maxTokens <= account.allowedTokens
   }
 
-  /** Replaces a reservation by what was used; false when the turn had none, as after a repeated report. */
-  settle (programId: string, requestId: string, usedTokens: number): boolean {
+  /** Replaces a reservation by the tokens used; false when the turn has none, as after a repeated report. */
+  reconcile (programId: string, requestId: string, usedTokens: number): boolean {
     const account = this._accounts.get(programId)
-    if (account === undefined || requestId === UNKNOWN_USE || !account.openTurns.delete(requestId)) return false
+    if (account === undefined || requestId === UNKNOWN_USE_ID || !account.openTurns.delete(requestId)) return false
     account.usedTokens += usedTokens
     return true
   }
 
-  /** Allows tokens ahead; to be recorded before they are used. */
-  allowAhead (programId: string): void {
+  /** Allows tokens for further turns. The account has to be recorded before they are used. */
+  extendAllowance (programId: string): void {
     const account = this._accounts.get(programId)
     if (account === undefined) return
     const committed = committedTokens(account)
-    const left = Math.max(0, account.budgetTokens - committed)
-    account.allowedTokens = committed + Math.floor(SHARE_AHEAD * left)
+    const remainingTokens = Math.max(0, account.budgetTokens - committed)
+    account.allowedTokens = committed + Math.floor(ALLOWANCE_SHARE * remainingTokens)
   }
 
-  /** Withdraws what was allowed ahead; returns the programs whose accounts have to be recorded. */
-  seal (): string[] {
-    const sealed: string[] = []
+  /** Withdraws the unused allowance of every account; returns the programs whose accounts have to be recorded. */
+  withdrawAllowances (): string[] {
+    const changedPrograms: string[] = []
     for (const [programId, account] of this._accounts) {
       const committed = committedTokens(account)
       if (account.allowedTokens <= committed) continue
       account.allowedTokens = committed
-      sealed.push(programId)
+      changedPrograms.push(programId)
     }
-    return sealed
+    return changedPrograms
   }
 
-  /** Puts an account in place as an earlier owner recorded it. */
+  /** Sets an account that an earlier owner recorded. Its unused allowance becomes a reservation that never ends. */
   restore (programId: string, account: ProgramAccount): void {
-    const ahead = account.allowedTokens - committedTokens(account)
-    if (ahead > 0) account.openTurns.set(UNKNOWN_USE, (account.openTurns.get(UNKNOWN_USE) ?? 0) + ahead)
+    const unusedAllowance = account.allowedTokens - committedTokens(account)
+    if (unusedAllowance > 0) account.openTurns.set(UNKNOWN_USE_ID, (account.openTurns.get(UNKNOWN_USE_ID) ?? 0) + unusedAllowance)
     this._accounts.set(programId, account)
   }
 
-  drop (programId: string): void {
+  remove (programId: string): void {
     this._accounts.delete(programId)
   }
 }
 
-/** Tokens used and reserved. */
+/** Tokens that the account's program has used and reserved. */
 export function committedTokens (account: ProgramAccount): number {
   let total = account.usedTokens
   for (const tokens of account.openTurns.values()) total += tokens
--- a/packages/core/src/common/turns/turnRecords.ts
+++ b/packages/core/src/common/turns/turnRecords.ts
@@ -1,25 +1,25 @@
-/** Records of turns and accounts: one key each, so that the log keeps only their newest state. */
+/** Encodes and decodes the records of turns and accounts. Each has its own key, and the log keeps the newest value of a key. */
 import { Packr } from 'msgpackr'
 import { digestText } from '../base/digest.js'
 import type { ProgramAccount } from './tokenLedger.js'
 import type { RetainedTurn } from './turnTree.js'
 
-/** A record of a keyed topic; without a value it removes its key. */
+/** A record of a keyed topic. A record without a value removes its key. */
 export interface KeyedRecord {
   key: string
   value?: Uint8Array
 }
 
-/** Ids longer than this are replaced by their digest; keys have at most 255 bytes. */
+/** Longer ids are replaced by their digest in keys, because keys have at most 255 bytes. */
 const MAX_ID_CHARACTERS = 100
-/** Room of a record for its key and the fields around a part's bytes. */
+/** Space reserved in a record for its key and the fields other than the part's bytes. */
 const RECORD_OVERHEAD_BYTES = 512
 
 const ACCOUNT_PREFIX = 'p/'
 
 const packr = new Packr({ useRecords: false, mapsAsObjects: true })
 
-/** A record read back. */
+/** A record that was read from the log. */
 export type DecodedRecord =
   | { type: 'account', programId: string, account: ProgramAccount, updatedAtMs: number }
   | { type: 'turnPart', turnId: string, index: number, count: number, bytes: Uint8Array }
@@ -31,30 +31,30 @@
   return { key: accountKey(programId), value }
 }
 
-/** The records of a turn: one, or several parts when it is larger than a record may be. */
+/** The records of a turn: one, or several parts when the turn is larger than `maxRecordBytes`. */
 export function encodeTurn (turn: RetainedTurn, maxRecordBytes: number): KeyedRecord[] {
   const { turnId, programId, previousTurnId, input, output, keepMs, worker } = turn
   const bytes = packr.pack([turnId, programId, previousTurnId ?? null, input, output, keepMs, worker ?? null])
-  const partBytes = maxRecordBytes - RECORD_OVERHEAD_BYTES
-  const count = Math.max(1, Math.ceil(bytes.length / partBytes))
+  const maxPartBytes = maxRecordBytes - RECORD_OVERHEAD_BYTES
+  const count = Math.max(1, Math.ceil(bytes.length / maxPartBytes))
   return Array.from({ length: count }, (_, index) => ({
     key: turnKey(turnId, index),
-    value: packr.pack({ t: turnId, i: index, n: count, b: bytes.subarray(index * partBytes, (index + 1) * partBytes) })
+    value: packr.pack({ t: turnId, i: index, n: count, b: bytes.subarray(index * maxPartBytes, (index + 1) * maxPartBytes) })
   }))
 }
 
 /** The record that removes a program's account. */
-export function removeAccount (programId: string): KeyedRecord {
+export function encodeAccountRemoval (programId: string): KeyedRecord {
   return { key: accountKey(programId) }
 }
 
-/** Records that remove a turn. */
-export function removeTurn (turn: RetainedTurn, maxRecordBytes: number): KeyedRecord[] {
+/** The records that remove a turn; `maxRecordBytes` as when it was encoded. */
+export function encodeTurnRemoval (turn: RetainedTurn, maxRecordBytes: number): KeyedRecord[] {
   const count = Math.max(1, Math.ceil((turn.input.length + turn.output.length + RECORD_OVERHEAD_BYTES) / (maxRecordBytes - RECORD_OVERHEAD_BYTES)))
   return Array.from({ length: count }, (_, index) => ({ key: turnKey(turn.turnId, index) }))
 }
 
-/** Reads a record; undefined when its bytes are damaged. */
+/** Decodes a record; undefined when its bytes are damaged. */
 export function decodeRecord (value: Uint8Array): DecodedRecord | undefined {
   try {
     const fields = packr.unpack(value) as Record<string, unknown>
@@ -70,7 +70,7 @@
   }
 }
 
-/** Reads a turn from the joined bytes of its parts; undefined when they are damaged. */
+/** Decodes a turn from the joined bytes of its parts; undefined when they are damaged. */
 export function decodeTurn (bytes: Uint8Array): RetainedTurn | undefined {
   try {
     const [turnId, programId, previousTurnId, input, output, keepMs, worker] = packr.unpack(bytes) as [string, string, string | null, Uint8Array, Uint8Array, number, string | null]
@@ -81,19 +81,20 @@
   }
 }
 
-/** True for the keys of accounts; they come before those of turns in the order of keys. */
+/** True for the keys of accounts, which sort before those of turns. */
 export function isAccountKey (key: string): boolean {
   return key.startsWith(ACCOUNT_PREFIX)
 }
 
 function accountKey (programId: string): string {
-  return `${ACCOUNT_PREFIX}${shorten(programId)}`
+  return `${ACCOUNT_PREFIX}${shortenId(programId)}`
 }
 
 function turnKey (turnId: string, index: number): string {
-  return `t/${shorten(turnId)}/${index}`
+  return `t/${shortenId(turnId)}/${index}`
 }
 
-function shorten (id: string): string {
+/** The id itself, or its digest when it is long or has characters other than printable ASCII. */
+function shortenId (id: string): string {
   return id.length <= MAX_ID_CHARACTERS && /^[\x21-\x7e]*$/.test(id) ? id : digestText(id)
 }
--- a/packages/core/src/common/turns/turnTree.ts
+++ b/packages/core/src/common/turns/turnTree.ts
@@ -1,37 +1,39 @@
-/** Finished turns of programs, each of which may be continued by several others. */
+/** Retained turns of programs. Several turns may continue the same one. */
 
-/** A turn whose answer was delivered whole. */
+/** A turn whose complete answer was delivered. */
 export interface RetainedTurn {
   /** Request id of the turn. */
   turnId: string
   programId: string
-  /** The turn that this one continues. */
+  /** Id of the turn that this one continues; absent for a first turn. */
   previousTurnId?: string
-  /** What the caller sent. */
+  /** Body of the caller's request. */
   input: Uint8Array
   /** What the worker generated: the data of each event and a line feed. */
   output: Uint8Array
+  /** How long the turn is retained, in milliseconds; longer when a turn that continues it is. */
   keepMs: number
-  /** Worker that ran the turn; it probably holds the cache of the chain. */
+  /** Worker that ran the turn and probably has the chain's prompt in its cache. */
   worker?: string
 }
 
-interface Entry {
+interface TurnEntry {
   turn: RetainedTurn
   expiresAtMs: number
 }
 
 /**
- * The turns of one partition as a forest.
+ * The turns of one partition as a forest. All times are milliseconds of one clock.
  *
  * @example
  * tree.add(turn, nowMs)
  * tree.chainOf(turn.turnId) // from the first turn to this one
  */
 export class TurnTree {
-  private readonly _entries = new Map<string, Entry>()
+  private readonly _entries = new Map<string, TurnEntry>()
   private _bytes = 0
 
+  /** Number of turns held. */
   get size (): number {
     return this._entries.size
   }
@@ -45,36 +47,37 @@
     return this._entries.has(turnId)
   }
 
+  /** A turn by its id; undefined when it is not held. */
   find (turnId: string): RetainedTurn | undefined {
     return this._entries.get(turnId)?.turn
   }
 
-  /** Adds a turn and keeps every turn before it at least as long. A known turn isn't replaced. */
+  /** Adds a turn and retains the turns before it that are already held at least as long. A known turn is not replaced. */
   add (turn: RetainedTurn, nowMs: number): void {
     const expiresAtMs = nowMs + turn.keepMs
     if (!this._entries.has(turn.turnId)) {
       this._entries.set(turn.turnId, { turn, expiresAtMs })
       this._bytes += turn.input.length + turn.output.length
     }
-    this._keepUntil(turn.turnId, expiresAtMs)
+    this._extendExpiry(turn.turnId, expiresAtMs)
   }
 
-  /** The turns from the first to `turnId`; undefined when one of them isn't here. */
+  /** The turns from the first to `turnId`; undefined when one of them is not held or the chain is circular. */
   chainOf (turnId: string): RetainedTurn[] | undefined {
     const chain: RetainedTurn[] = []
-    const seen = new Set<string>()
+    const visited = new Set<string>()
     let next: string | undefined = turnId
     while (next !== undefined) {
       const entry = this._entries.get(next)
-      if (entry === undefined || seen.has(next)) return undefined
-      seen.add(next)
+      if (entry === undefined || visited.has(next)) return undefined
+      visited.add(next)
       chain.push(entry.turn)
       next = entry.turn.previousTurnId
     }
     return chain.reverse()
   }
 
-  /** Removes and returns the turns whose time is over. */
+  /** Removes and returns the turns whose retention has ended. */
   expire (nowMs: number): RetainedTurn[] {
     const expired: RetainedTurn[] = []
     for (const [turnId, { turn, expiresAtMs }] of this._entries) {
@@ -86,7 +89,7 @@
     return expired
   }
 
-  private _keepUntil (turnId: string, expiresAtMs: number): void {
+  private _extendExpiry (turnId: string, expiresAtMs: number): void {
     let entry = this._entries.get(turnId)
     while (entry !== undefined && entry.expiresAtMs <= expiresAtMs) {
       entry.expiresAtMs = expiresAtMs
@@ -97,7 +100,7 @@
   }
 }
 
-/** The whole prompt of a turn that continues `chain`: every input and output in order, then the new input. */
+/** The complete prompt of a turn that continues `chain`: every input and output in order, then the new input. */
 export function joinChain (chain: readonly RetainedTurn[], input: Uint8Array): Uint8Array[] {
   return [...chain.flatMap(turn => [turn.input, turn.output]), input]
 }
--- a/packages/core/test/common/turns/partitionState.test.ts
+++ b/packages/core/test/common/turns/partitionState.test.ts
@@ -13,11 +13,11 @@
   return { programId: 'p', requestId: turnId, usedTokens, worker: 'w', prompt: [], turn }
 }
 
-/** What the log keeps: the newest value of each key. */
-function createLog (): { take: (records: KeyedRecord[]) => void, rebuild: () => PartitionState, size: () => number } {
+/** A log that keeps the newest value of each key. */
+function createLog (): { append: (records: KeyedRecord[]) => void, rebuild: () => PartitionState, size: () => number } {
   const newest = new Map<string, Uint8Array>()
   return {
-    take: records => {
+    append: records => {
       for (const { key, value } of records) {
         if (value === undefined) newest.delete(key)
         else newest.set(key, value)
@@ -32,65 +32,65 @@
   }
 }
 
-test('a reservation counts until the turn is settled, and again after a takeover', () => {
+test('a reservation counts until its turn ends, also after a takeover', () => {
   const log = createLog()
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
   const request = { programId: 'p', prompt: [], budgetTokens: 1_000, maxTokens: 400 }
   for (const requestId of ['a', 'b']) {
     const grant = state.grant({ ...request, requestId }, 0)
     assert.is(grant.type, 'granted')
-    if (grant.type === 'granted') log.take(grant.records)
+    if (grant.type === 'granted') log.append(grant.records)
   }
   assert.is(state.grant({ ...request, requestId: 'c' }, 0).type, 'spent')
-  log.take(state.end(createEnd('a', 100), 0))
-  log.take(state.seal(0))
-  const successor = log.rebuild()
-  assert.is(successor.grant({ ...request, requestId: 'c' }, 0).type, 'granted')
-  assert.is(successor.grant({ ...request, requestId: 'd' }, 0).type, 'spent')
+  log.append(state.end(createEnd('a', 100), 0))
+  log.append(state.seal(0))
+  const newOwner = log.rebuild()
+  assert.is(newOwner.grant({ ...request, requestId: 'c' }, 0).type, 'granted')
+  assert.is(newOwner.grant({ ...request, requestId: 'd' }, 0).type, 'spent')
 })
 
-test('what was allowed ahead counts as used after a takeover without a seal', () => {
+test('an allowance counts as used after a takeover when the earlier owner did not withdraw it', () => {
   const log = createLog()
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
   const request = { programId: 'p', prompt: [], budgetTokens: 1_000, maxTokens: 100 }
   const first = state.grant({ ...request, requestId: 'a' }, 0)
-  if (first.type === 'granted') log.take(first.records)
+  if (first.type === 'granted') log.append(first.records)
   const covered = state.grant({ ...request, requestId: 'b' }, 0)
   assert.equal(covered.type === 'granted' ? covered.records : undefined, [], 'the second turn needs no record')
-  const successor = log.rebuild()
-  const granted = Array.from({ length: 10 }, (_, index) => successor.grant({ ...request, requestId: `n${index}` }, 0).type).filter(type => type === 'granted')
-  assert.ok(granted.length <= 8, `${granted.length} turns beside two that may have run`)
+  const newOwner = log.rebuild()
+  const granted = Array.from({ length: 10 }, (_, index) => newOwner.grant({ ...request, requestId: `n${index}` }, 0).type).filter(type => type === 'granted')
+  assert.ok(granted.length <= 8, `${granted.length} turns in addition to two that may have run`)
 })
 
-test('an end that is recorded late allows no tokens before its record', () => {
+test('the end of a turn allows no further tokens before its record is in the log', () => {
   const log = createLog()
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
   const request = { programId: 'p', prompt: [], budgetTokens: 1_000, maxTokens: 100 }
   let given = 0
   for (const requestId of ['a', 'b', 'c', 'd', 'e', 'f', 'g']) {
-    // Every end is told at once, and its record is lost with the owner.
+    // The end is reported at once, but its record is lost with the owner.
     if (requestId === 'f') state.end(createEnd('a', 100), 0)
     const grant = state.grant({ ...request, requestId }, 0)
     if (grant.type !== 'granted') continue
-    log.take(grant.records)
+    log.append(grant.records)
     given += 100
   }
-  const successor = log.rebuild()
+  const newOwner = log.rebuild()
   for (let index = 0; index < 12; index++) {
-    if (successor.grant({ ...request, requestId: `n${index}` }, 0).type === 'granted') given += 100
+    if (newOwner.grant({ ...request, requestId: `n${index}` }, 0).type === 'granted') given += 100
   }
   assert.ok(given <= 1_000, `${given} tokens of 1,000`)
 })
 
-test('a repeated report of an end changes nothing', () => {
+test('a repeated report of the end of a turn changes nothing', () => {
   const ledger = new TokenLedger()
   ledger.reserve({ programId: 'p', requestId: 'a', budgetTokens: 100, maxTokens: 50 })
-  assert.ok(ledger.settle('p', 'a', 30))
-  assert.not.ok(ledger.settle('p', 'a', 30))
+  assert.ok(ledger.reconcile('p', 'a', 30))
+  assert.not.ok(ledger.reconcile('p', 'a', 30))
   assert.is(ledger.find('p')?.usedTokens, 30)
 })
 
-test('tokens never pass the budget, whatever the order of turns, ends and takeovers', () => {
+test('tokens never exceed the budget in any order of turns, ends and takeovers', () => {
   const action = fc.oneof(
     fc.record({ type: fc.constant('grant' as const), id: fc.integer({ min: 0, max: 20 }), maxTokens: fc.integer({ min: 1, max: 300 }) }),
     fc.record({ type: fc.constant('end' as const), id: fc.integer({ min: 0, max: 20 }), share: fc.double({ min: 0, max: 1, noNaN: true }) }),
@@ -102,53 +102,53 @@
     let state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
     const open = new Map<string, number>()
     let given = 0
-    let lazy: KeyedRecord[] = []
-    let isUsed = new Set<string>()
+    let unappended: KeyedRecord[] = []
+    let usedRequestIds = new Set<string>()
     for (const step of actions) {
       if (step.type === 'takeover') {
-        // The records of ends that were not appended yet are lost with the old owner.
+        // Records of ends that were not appended yet are lost with the previous owner.
         state = log.rebuild()
-        lazy = []
+        unappended = []
         continue
       }
       if (step.type === 'flush') {
-        log.take(lazy.splice(0))
+        log.append(unappended.splice(0))
         continue
       }
       const requestId = `r${step.id}`
       if (step.type === 'grant') {
-        if (isUsed.has(requestId)) continue
+        if (usedRequestIds.has(requestId)) continue
         const grant = state.grant({ programId: 'p', requestId, prompt: [], budgetTokens: 1_000, maxTokens: step.maxTokens }, 0)
         if (grant.type !== 'granted') continue
-        if (grant.records.length > 0) log.take([...lazy.splice(0), ...grant.records])
-        isUsed = new Set([...isUsed, requestId])
+        if (grant.records.length > 0) log.append([...unappended.splice(0), ...grant.records])
+        usedRequestIds = new Set([...usedRequestIds, requestId])
         open.set(requestId, step.maxTokens)
       } else if (open.has(requestId)) {
         const used = Math.floor((open.get(requestId) ?? 0) * step.share)
         open.delete(requestId)
         given += used
-        lazy.push(...state.end(createEnd(requestId, used), 0))
+        unappended.push(...state.end(createEnd(requestId, used), 0))
       }
     }
     return given <= 1_000
   }), { numRuns: 300 })
 })
 
-test('a chain is rebuilt from its records in order, also when a turn takes several of them', () => {
+test('a chain is rebuilt from its records in order, also when a turn is split into several records', () => {
   const log = createLog()
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
-  log.take(state.end(createEnd('a', 0, createTurn('a')), 0))
-  log.take(state.end(createEnd('b', 0, createTurn('b', 'a', 9_000)), 0))
-  log.take(state.end(createEnd('c', 0, createTurn('c', 'a')), 0))
+  log.append(state.end(createEnd('a', 0, createTurn('a')), 0))
+  log.append(state.end(createEnd('b', 0, createTurn('b', 'a', 9_000)), 0))
+  log.append(state.end(createEnd('c', 0, createTurn('c', 'a')), 0))
   assert.ok(log.size() > 4, 'the long turn is split')
-  const successor = log.rebuild()
-  assert.equal(successor.chainOf('b')?.map(turn => turn.turnId), ['a', 'b'])
-  assert.equal(successor.chainOf('c')?.map(turn => turn.turnId), ['a', 'c'])
-  assert.is(successor.chainOf('b')?.at(1)?.input.length, 9_000)
-  assert.is(successor.grant({ programId: 'q', requestId: 'd', previousTurnId: 'x', prompt: [], maxTokens: 1 }, 0).type, 'noSuchTurn')
+  const newOwner = log.rebuild()
+  assert.equal(newOwner.chainOf('b')?.map(turn => turn.turnId), ['a', 'b'])
+  assert.equal(newOwner.chainOf('c')?.map(turn => turn.turnId), ['a', 'c'])
+  assert.is(newOwner.chainOf('b')?.at(1)?.input.length, 9_000)
+  assert.is(newOwner.grant({ programId: 'q', requestId: 'd', previousTurnId: 'x', prompt: [], maxTokens: 1 }, 0).type, 'noSuchTurn')
 })
 
-test('a turn lives as long as any that continues it, and its records go with it', () => {
+test('a turn is retained as long as any that continues it, and its records are removed with it', () => {
   const tree = new TurnTree()
   tree.add(createTurn('a'), 0)
   tree.add(createTurn('b', 'a'), 900)
@@ -159,12 +159,12 @@
 
   const log = createLog()
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
-  log.take(state.end(createEnd('a', 0, createTurn('a', undefined, 9_000)), 0))
-  log.take(state.expire(1_000))
+  log.append(state.end(createEnd('a', 0, createTurn('a', undefined, 9_000)), 0))
+  log.append(state.expire(1_000))
   assert.is(log.size(), 0)
 })
 
-test('the worker of a session is told to the next turn, of the same session or of a sub-agent', () => {
+test('a grant names the worker that has cached the session, for a turn of the same session or of a sub-agent', () => {
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
   state.end({ ...createEnd('a', 0), prompt: [{ id: 'shared', tokens: 900 }, { id: 'own', tokens: 300 }] }, 0)
   const next = state.grant({ programId: 'p', requestId: 'b', prompt: [{ id: 'shared', tokens: 900 }, { id: 'own', tokens: 350 }, { id: 'child', tokens: 50 }], maxTokens: 1 }, 0)
