--- a/packages/core/src/common/forwarding/attemptOutcome.ts
+++ b/packages/core/src/common/forwarding/attemptOutcome.ts
@@ -1,62 +1,68 @@
-/** What became of one attempt to have a worker run a request, and what follows from it. */
+/** Outcomes of an attempt to run a request at a worker, and the decision what to do next. */
 import type { Route } from '../routing/routeDocument.js'
 import { RouteKind } from '../routing/routeDocument.js'
 
+/** How an attempt without a complete answer ended. */
 export const AttemptOutcome = {
   /** No byte of the request left this node. */
   NotSent: 'notSent',
-  /** The worker said that it did not run the request. */
+  /** The worker answered that it did not run the request. */
   Refused: 'refused',
-  /** The request was sent and its fate is not known. */
+  /** The request was sent, and whether the worker ran it is not known. */
   Unknown: 'unknown'
 } as const
 export type AttemptOutcome = typeof AttemptOutcome[keyof typeof AttemptOutcome]
 
-/** Connections that may fail before the first byte is sent, until the request is refused. */
+/** Attempts that may fail before their first byte is sent; after this many the request is not tried again. */
 const MAX_UNSENT_ATTEMPTS = 3
-/** Below this an attempt can't end in time any more. */
+/** With less time left than this, an attempt cannot end before the deadline. */
 const MIN_ATTEMPT_MS = 20
 
+/** The attempts of a request so far, the newest included. */
 export interface AttemptHistory {
   route: Route
   /** Attempts whose request left this node. */
   sentCount: number
+  /** Attempts that failed before their first byte was sent. */
   unsentCount: number
-  /** True when the fate of an earlier attempt is not known. */
+  /** True when an attempt had an unknown outcome, so that a worker may have run the request. */
   mayHaveRun: boolean
-  /** True when the caller was given a part of an answer. */
+  /** True when the caller has received a part of an answer. */
   hasAnswerBegun: boolean
+  /** Time until the request's deadline. */
   timeLeftMs: number
 }
 
+/** What to do with a request after an attempt. */
 export type NextStep =
-  /** Send it again from its start. */
+  /** Send the request again from its start. */
   | { type: 'again' }
-  /** Go on after the last event that the caller has. */
+  /** Send the request again and continue after the last event that the caller has received. */
   | { type: 'resume' }
-  /** Not run, and it never will be. */
+  /** Give up; no worker has run the request. */
   | { type: 'notRun' }
-  /** It may have run. */
+  /** Give up; a worker may have run the request. */
   | { type: 'unknown' }
 
-/** True when a request may run more than once. */
+/** True when a request of the route may run more than once. */
 export function isRepeatable (route: Route): boolean {
   return route.kind === RouteKind.Safe || (route.kind === RouteKind.Stream && route.canResume)
 }
 
 /**
- * Decides what to do after an attempt that brought no whole answer.
+ * Decides what to do after an attempt that brought no complete answer. A request that must not be repeated is never sent again
+ * after an unknown outcome, and never reported as not run once an attempt had one.
  *
  * @example
- * resolveNextStep(AttemptFate.Unknown, history) // { type: 'unknown' } for a request that must not be repeated
+ * resolveNextStep(AttemptOutcome.Unknown, history) // { type: 'unknown' } for a request that must not be repeated
  */
-export function resolveNextStep (fate: AttemptOutcome, history: AttemptHistory): NextStep {
+export function resolveNextStep (outcome: AttemptOutcome, history: AttemptHistory): NextStep {
   const { route, sentCount, unsentCount, mayHaveRun, hasAnswerBegun, timeLeftMs } = history
   const isTimeLeft = timeLeftMs > MIN_ATTEMPT_MS
   const maySendAgain = isTimeLeft && sentCount < route.maxAttempts
-  const again: NextStep = hasAnswerBegun ? { type: 'resume' } : { type: 'again' }
-  const end: NextStep = mayHaveRun ? { type: 'unknown' } : { type: 'notRun' }
-  if (fate === AttemptOutcome.NotSent) return maySendAgain && unsentCount < MAX_UNSENT_ATTEMPTS ? again : end
-  if (fate === AttemptOutcome.Refused) return maySendAgain ? again : end
-  return maySendAgain && isRepeatable(route) ? again : { type: 'unknown' }
+  const retryStep: NextStep = hasAnswerBegun ? { type: 'resume' } : { type: 'again' }
+  const finalStep: NextStep = mayHaveRun ? { type: 'unknown' } : { type: 'notRun' }
+  if (outcome === AttemptOutcome.NotSent) return maySendAgain && unsentCount < MAX_UNSENT_ATTEMPTS ? retryStep : finalStep
+  if (outcome === AttemptOutcome.Refused) return maySendAgain ? retryStep : finalStep
+  return maySendAgain && isRepeatable(route) ? retryStep : { type: 'unknown' }
 }
--- a/packages/core/test/common/forwarding/attemptOutcome.test.ts
+++ b/packages/core/test/common/forwarding/attemptOutcome.test.ts
@@ -24,26 +24,26 @@
   return { route: full, sentCount: 1, unsentCount: 0, mayHaveRun: false, hasAnswerBegun: false, timeLeftMs: 500, ...fields }
 }
 
-test('an unsafe request of unknown fate is never sent again and never said not to have run', () => {
+test('an unsafe request of unknown outcome is never sent again and never reported as not run', () => {
   fc.assert(fc.property(fc.nat(5), fc.nat(5), fc.integer({ min: 0, max: 2_000 }), (sentCount, unsentCount, timeLeftMs) => {
     const next = resolveNextStep(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Unsafe, maxAttempts: 6 }, { sentCount, unsentCount, timeLeftMs, mayHaveRun: true }))
     return next.type === 'unknown'
   }))
 })
 
-test('after an attempt of unknown fate no later refusal is told as "not run"', () => {
+test('after an attempt of unknown outcome a refusal is not reported as "not run"', () => {
   const history = createHistory({ kind: RouteKind.Safe }, { sentCount: 2, mayHaveRun: true })
   assert.equal(resolveNextStep(AttemptOutcome.Refused, history), { type: 'unknown' })
 })
 
-test('refused and unsent requests go elsewhere within the attempts of the route', () => {
+test('refused and unsent requests are retried within the attempts of the route', () => {
   assert.equal(resolveNextStep(AttemptOutcome.Refused, createHistory({ maxAttempts: 2 })), { type: 'again' })
   assert.equal(resolveNextStep(AttemptOutcome.Refused, createHistory({ maxAttempts: 1 })), { type: 'notRun' })
   assert.equal(resolveNextStep(AttemptOutcome.NotSent, createHistory({ maxAttempts: 1 }, { sentCount: 0, unsentCount: 1 })), { type: 'again' })
   assert.equal(resolveNextStep(AttemptOutcome.NotSent, createHistory({}, { sentCount: 0, unsentCount: 3 })), { type: 'notRun' })
 })
 
-test('a broken stream goes on after its last event only where the route allows it', () => {
+test('a broken stream resumes after its last event only when the route allows it', () => {
   const broken = { sentCount: 1, mayHaveRun: true, hasAnswerBegun: true }
   assert.equal(resolveNextStep(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: true }, broken)), { type: 'resume' })
   assert.equal(resolveNextStep(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: false }, broken)), { type: 'unknown' })
