--- a/packages/core/src/common/routing/index.ts
+++ b/packages/core/src/common/routing/index.ts
@@ -1,2 +1,3 @@
+/** Public exports of the route document and the route table. */
 export * from './routeDocument.js'
 export * from './routeTable.js'
--- a/packages/core/src/common/routing/routeDocument.ts
+++ b/packages/core/src/common/routing/routeDocument.ts
@@ -1,6 +1,6 @@
-/** The operator's document of routes and services, as the routed requests see it. */
+/** The operator's document of routes and services, in the form that the handling of routed requests uses. */
 
-/** What may be repeated on a route. */
+/** Whether requests of a route may be repeated: `Safe` always, `Unsafe` never, `Stream` only with `canResume`. */
 export const RouteKind = { Safe: 'safe', Unsafe: 'unsafe', Stream: 'stream' } as const
 export type RouteKind = typeof RouteKind[keyof typeof RouteKind]
 
@@ -11,57 +11,67 @@
   weight: number
 }
 
+/** Rules for the requests of one host and path prefix. */
 export interface Route {
   name: string
+  /** Matched without regard to case and port. */
   host: string
   /** Begins and ends with a slash. */
   pathPrefix: string
   kind: RouteKind
-  /** The longest time for which a request may go unanswered. */
+  /** Longest time from the arrival of a request to the end of its answer; an answer that takes longer is cut off. */
   timeoutMs: number
-  /** Time within which an answer, or the first event of a stream, is on time. */
+  /** Service level objective: the longest time until an answer, or the first event of a stream, that counts as on time. */
   objectiveMs: number
-  /** 0 is the most urgent. */
+  /** Smaller numbers are more urgent; 0 is the most urgent. */
   priority: number
   targets: WeightedService[]
-  /** Workers to which one request may be sent at the most. */
+  /** Most attempts in which one request may be sent to a worker. */
   maxAttempts: number
-  /** Finished turns are kept, so that later ones can continue from them. */
+  /** True when completed turns are stored, so that later turns can continue them. */
   retainsTurns: boolean
+  /** How long a completed turn is stored. */
   turnRetentionMs: number
-  /** A worker that served the same object or prompt before is faster. */
+  /** True when a worker that served the same object or prompt before is faster. */
   isSticky: boolean
-  /** A broken stream may go on at another worker after its last event. */
+  /** True when a broken stream may continue at another worker after its last event. */
   canResume: boolean
-  /** The longest pause between two events that is still on time. */
+  /** The longest pause between two events of a stream that counts as on time. */
   maxEventGapMs: number
 }
 
-/** What the operator says of the model engines of a service. */
+/** Properties of a service's model engines, as the operator states them. */
 export interface EngineTraits {
+  /** Requests that one engine runs at once. */
   slots: number
   /** Tokens that one event of a stream stands for. */
   tokensPerEvent: number
+  /** Tokens that fit into the key-value cache of one engine. */
   kvTokensCapacity: number
 }
 
+/** A service whose workers run routed requests. */
 export interface RoutedService {
   name: string
+  /** HTTP path of the workers' health check. */
   healthPath: string
-  /** Connections that one worker takes from all nodes together. */
+  /** Connections that one worker accepts from all nodes together. */
   maxConnections: number
   /** Absent for plain services. */
   engine?: EngineTraits
 }
 
-/** Bounds on what callers may send. */
+/** Limits for requests and connections of callers. */
 export interface CallerLimits {
   headerBytes: number
   bodyBytes: number
+  /** Time within which the headers of a request must arrive. */
   headerTimeoutMs: number
+  /** How long a connection may stay open without a request. */
   idleTimeoutMs: number
 }
 
+/** The whole document. A larger version replaces a smaller one. */
 export interface RouteDocument {
   version: number
   routes: Route[]
--- a/packages/core/src/common/routing/routeTable.ts
+++ b/packages/core/src/common/routing/routeTable.ts
@@ -1,20 +1,22 @@
-/** Finds the route of a request in the newest document. */
+/** Resolves requests to the routes of the newest document. */
 import { inject, injectable } from 'tsyringe'
 import { IRandom } from '../kernel/random.js'
 import type { CallerLimits, Route, RouteDocument, RoutedService } from './routeDocument.js'
 
-/** The routes in force on this node. */
+/** The active routes of this node. */
 export interface IRouteTable {
-  /** Version of the document in force; 0 before the first one. */
+  /** Version of the active document; 0 before the first one. */
   readonly version: number
+  /** Undefined before the first document. */
   readonly limits: CallerLimits | undefined
   readonly routes: readonly Route[]
-  /** Takes a document into force; false when it isn't newer than the one in force. */
+  /** Activates a document; false, and nothing changed, when it is not newer than the active one. */
   apply (document: RouteDocument): boolean
-  /** The route with the longest prefix that begins `path`. */
+  /** The host's route with the longest prefix of `path`; undefined when none matches. `host` may have a port. */
   resolveRoute (host: string, path: string): Route | undefined
+  /** The service with this name; undefined when the active document has none. */
   findService (name: string): RoutedService | undefined
-  /** The services of a route in the order in which to try them, drawn by weight. */
+  /** The services of a route in the order in which to try them, drawn at random by weight; those with weight 0 are left out. */
   drawServices (route: Route): string[]
 }
 export const IRouteTable = Symbol('IRouteTable')
--- a/packages/core/src/common/routing/routing.contribution.ts
+++ b/packages/core/src/common/routing/routing.contribution.ts
@@ -1,4 +1,4 @@
-/** Registers the routes of the operator's document. */
+/** Registers the route table. */
 import { registerPlugin } from '../kernel/plugin.js'
 import { IRouteTable, RouteTable } from './routeTable.js'
 
--- a/packages/core/test/common/routing/routeTable.test.ts
+++ b/packages/core/test/common/routing/routeTable.test.ts
@@ -25,7 +25,7 @@
   return { version, routes, services: [], limits: { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 } }
 }
 
-test('the longest prefix of the host wins', () => {
+test('a path resolves to the route of its host with the longest matching prefix', () => {
   const table = new RouteTable(new SeededRandom(1))
   table.apply(createDocument(1, [createRoute('all', '/'), createRoute('orders', '/orders/'), createRoute('archive', '/orders/old/')]))
   assert.is(table.resolveRoute('shop.example', '/orders/17')?.name, 'orders')
@@ -43,7 +43,7 @@
   assert.is(table.version, 7)
 })
 
-test('services are drawn by weight, and those without weight never', () => {
+test('services are drawn by weight, and those with weight 0 are never drawn', () => {
   const table = new RouteTable(new SeededRandom(5))
   const route = createRoute('split', '/', [{ service: 'a', weight: 90 }, { service: 'b', weight: 10 }, { service: 'c', weight: 0 }])
   const first = Array.from({ length: 2_000 }, () => table.drawServices(route)[0])
