--- a/packages/core/src/common/dispatch/suspectRequests.ts
+++ b/packages/core/src/common/dispatch/suspectRequests.ts
@@ -24,8 +24,8 @@
  *
  * @example
  * const suspects = new SuspectRequests({ crashesToQuarantine: 2 })
- * suspects.add('f', 'w1', nowMs)
- * suspects.add('f', 'w2', nowMs) // true: 'f' is quarantined from now on
+ * suspects.addCrash('f', 'w1', nowMs)
+ * suspects.addCrash('f', 'w2', nowMs) // true: 'f' is quarantined from now on
  */
 export class SuspectRequests {
   private readonly _suspects = new Map<string, SuspectRequest>()
--- a/packages/core/src/common/forwarding/attemptOutcome.ts
+++ b/packages/core/src/common/forwarding/attemptOutcome.ts
@@ -54,7 +54,7 @@
  * after an unknown outcome, and never reported as not run once an attempt had one.
  *
  * @example
- * resolveNextStep(AttemptOutcome.Unknown, history) // { type: 'unknown' } for a request that must not be repeated
+ * resolveNextAction(AttemptOutcome.Unknown, history) // { type: 'unknown' } for a request that must not be repeated
  */
 export function resolveNextStep (outcome: AttemptOutcome, history: AttemptHistory): NextStep {
   const { route, sentCount, unsentCount, mayHaveRun, hasAnswerBegun, timeLeftMs } = history
