--- a/packages/node/src/common/routed/eventFrames.ts
+++ b/packages/node/src/common/routed/eventFrames.ts
@@ -1,8 +1,8 @@
-/** Cuts the bytes of an event stream into whole events. */
+/** Splits the bytes of an event stream into complete events. */
 
 const LINE_FEED = 10
 
-/** One event with the bytes it came in. */
+/** One event with its original bytes. */
 export interface EventFrame {
   bytes: Buffer
   /** Absent when the event carries none. */
@@ -12,7 +12,7 @@
 }
 
 /**
- * Takes any split of the bytes. Text is handled as Latin-1, so that data keeps its bytes.
+ * Accepts chunks of any size. Text is decoded as Latin-1, so that data keeps its bytes.
  *
  * @example
  * for (const frame of splitter.push(chunk)) forward(frame.bytes)
@@ -20,17 +20,18 @@
 export class EventFrameSplitter {
   private _pending: Buffer = Buffer.alloc(0)
 
-  /** Bytes that belong to no whole event yet. */
+  /** Bytes after the last complete event. */
   get rest (): Buffer {
     return this._pending
   }
 
+  /** Adds bytes and returns the events that are now complete. */
   push (bytes: Uint8Array): EventFrame[] {
     this._pending = this._pending.length === 0 ? Buffer.from(bytes) : Buffer.concat([this._pending, bytes])
     const frames: EventFrame[] = []
     let start = 0
-    for (let end = findEnd(this._pending, start); end >= 0; end = findEnd(this._pending, start)) {
-      frames.push(readFrame(this._pending.subarray(start, end)))
+    for (let end = findFrameEnd(this._pending, start); end >= 0; end = findFrameEnd(this._pending, start)) {
+      frames.push(parseFrame(this._pending.subarray(start, end)))
       start = end
     }
     this._pending = this._pending.subarray(start)
@@ -38,8 +39,8 @@
   }
 }
 
-/** Offset behind the blank line that ends the event, or -1. */
-function findEnd (bytes: Buffer, start: number): number {
+/** Offset after the blank line that ends the event, or -1. */
+function findFrameEnd (bytes: Buffer, start: number): number {
   for (let index = bytes.indexOf(LINE_FEED, start); index >= 0; index = bytes.indexOf(LINE_FEED, index + 1)) {
     if (bytes[index + 1] === LINE_FEED) return index + 2
     if (bytes[index + 1] === 13 && bytes[index + 2] === LINE_FEED) return index + 3
@@ -47,7 +48,7 @@
   return -1
 }
 
-function readFrame (bytes: Buffer): EventFrame {
+function parseFrame (bytes: Buffer): EventFrame {
   const frame: EventFrame = { bytes }
   const data: string[] = []
   for (const line of bytes.toString('latin1').split(/\r?\n/)) {
--- a/packages/node/src/common/routed/routedPeerMessages.ts
+++ b/packages/node/src/common/routed/routedPeerMessages.ts
@@ -1,10 +1,10 @@
-/** Messages between the nodes' routed parts. Sent as MessagePack, since they carry prompts and answers as bytes. */
+/** Messages between the nodes that serve routed requests. Sent as MessagePack, because they carry prompts and answers as bytes. */
 import type { CachedPart, GrantRequest, KeyedRecord, RetainedTurn, TurnEnd } from '@trefoilshunt/core'
 
 /** How a node can be reached. */
 export interface NodeAddress {
   node: string
-  /** Differs for each start of the daemon. */
+  /** Differs for each start of the daemon; a later one compares as larger. */
   incarnation: string
   /** `host:port` for peers. */
   peerAddress: string
@@ -13,16 +13,17 @@
   zone: string
 }
 
-/** A crash of a worker that a node saw, with the request that the worker ran. */
+/** A crash of a worker that a node observed, with the request that was at the worker. */
 export interface ObservedCrash {
-  /** Equal for a request that comes again. */
+  /** Identifies the request; equal for repeated requests. */
   fingerprint: string
-  /** The worker's id and start. */
+  /** The worker's id and start time. */
   worker: string
+  /** Time since the crash, by the sender's clock. */
   agoMs: number
 }
 
-/** Sent to every peer periodically, and at once when something in it matters to callers. */
+/** Sent to every peer periodically, and early after a change that affects callers. */
 export interface NodeStatus {
   type: 'status'
   from: NodeAddress
@@ -33,40 +34,45 @@
   /** Partitions that the node owns and serves, with the epoch of each. */
   owned: Array<[partition: number, epoch: number]>
   documentVersion: number
-  /** Time since the log answered this node. */
+  /** Time since the last response of the log to the sender. */
   logSilenceMs: number
-  /** Own requests in flight by worker. */
+  /** The sender's requests in flight by worker. */
   load: Record<string, number>
-  /** Crashes of workers that the sender saw lately. */
+  /** Crashes of workers that the sender observed in the last minute; absent if there were none. */
   crashes?: ObservedCrash[]
-  /** Peers that the sender knows; absent when the receiver was told before. */
+  /** Live peers of the sender; absent if the list was sent on this connection before, or another version of it a short time ago. */
   peers?: NodeAddress[]
 }
 
-/** An answer to a grant request. */
+/** A reply to a grant request. */
 export type GrantReply =
   /** The turn may be sent to a worker; `recorded` follows once the reservation is in the log. */
   | { type: 'granted', chain: Uint8Array[], cached: CachedPart[], isRecorded: boolean }
   | { type: 'recorded' }
   | { type: 'spent' }
   | { type: 'noSuchTurn' }
-  /** Nothing was decided: the partition is elsewhere, or its state isn't certain. */
+  /** Nothing was decided: another node owns the partition, or its state is uncertain. */
   | { type: 'unavailable', detail: string }
 
+/** A reply to the report of a turn's end. */
 export type EndReply =
   | { type: 'ended' }
   | { type: 'unavailable', detail: string }
 
 export type PeerRequest =
+  /** Requests a turn from the owner of the program's partition; `isKept` if the turn will be retained. */
   | { type: 'grant', partition: number, request: GrantRequest, isKept: boolean }
+  /** Reports the end of a turn. */
   | { type: 'end', partition: number, end: TurnEnd }
   /** Looks a turn up in every partition that the peer owns. */
   | { type: 'findChain', turnId: string }
-  /** What the peer knows of a topic that the asker can't read. */
+  /** Requests the newest records of a topic that the sender can't read, or of which the peer has newer ones. */
   | { type: 'topic', topic: string }
 
 export type PeerReply =
   | GrantReply
   | EndReply
+  /** `chain` is absent if the turn was not found; `partitions` are those that were searched by their confirmed owner. */
   | { type: 'chain', chain?: RetainedTurn[], partitions: number[] }
+  /** `records` is absent if the peer has not read the topic. */
   | { type: 'topicContent', records?: KeyedRecord[] }
--- a/packages/node/src/common/routed/routedRequest.ts
+++ b/packages/node/src/common/routed/routedRequest.ts
@@ -1,4 +1,4 @@
-/** A caller's request to a route, and where its answer goes. */
+/** A caller's request to a route, and the sink for its answer. */
 import type { PromptPart } from '@trefoilshunt/core'
 
 export type HeaderList = ReadonlyArray<readonly [name: string, value: string]>
@@ -6,7 +6,7 @@
 /** The program that a request belongs to. */
 export interface ProgramContext {
   programId: string
-  /** One line of turns of the program. */
+  /** Identifies one sequence of turns of the program. */
   sessionId?: string
   /** Time left until the program should be finished. */
   finishMs?: number
@@ -28,16 +28,16 @@
   /** Headers that go on to the worker. */
   headers: HeaderList
   body: Uint8Array
-  /** How long the caller waits, from the arrival of the request. */
+  /** Time for which the caller waits, from the arrival of the request; undefined if it set no limit. */
   deadlineMs?: number
-  /** Steady time at which the request had been read. */
+  /** Steady time at which the request was completely read. */
   arrivedAtMs: number
   affinityKey?: string
   prompt: PromptPart[]
-  /** The most tokens that the request generates. */
+  /** Maximum number of tokens that the request generates. */
   maxTokens: number
   program?: ProgramContext
-  /** Event after which the caller wants to go on. */
+  /** Id of the event after which the caller resumes a stream. */
   lastEventId?: string
 }
 
@@ -46,7 +46,7 @@
   headers: HeaderList
 }
 
-/** Reasons of answers that this node gives itself. */
+/** Reasons for answers that come from this node instead of a worker. */
 export const RefusalReason = {
   NoDocument: 'noDocument',
   NoRoute: 'noRoute',
@@ -66,19 +66,19 @@
 export interface Refusal {
   status: number
   reason: RefusalReason
-  /** When the caller should come back; only with answers that say "not run". */
+  /** Time after which the caller should retry; only for requests that were not run. */
   retryAfterMs?: number
 }
 
-/** Takes the answer of one request. Calls after `end`, `refuse` or `abort` are ignored. */
+/** Receives the answer to one request. Calls after `end`, `refuse` or `abort` are ignored. */
 export interface IAnswerSink {
-  /** Called once when the caller has left before the answer ended. */
+  /** Called once if the caller disconnects before the answer has ended. */
   onGone: () => void
   begin (head: AnswerHead): void
   write (bytes: Uint8Array): void
   end (): void
-  /** Answers with a status of this node. */
+  /** Answers with a status and reason from this node instead of a worker's answer. */
   refuse (refusal: Refusal): void
-  /** Breaks the connection, so that the answer can't look complete. */
+  /** Closes the connection abnormally, so that the caller can't take the answer for complete. */
   abort (): void
 }
--- a/packages/node/src/common/routed/workerClient.ts
+++ b/packages/node/src/common/routed/workerClient.ts
@@ -1,4 +1,4 @@
-/** Calls to workers. */
+/** The client for calls to workers, which a platform adapter implements. */
 import type { HeaderList } from './routedRequest.js'
 
 export interface WorkerCall {
@@ -10,11 +10,11 @@
   path: string
   headers: HeaderList
   body: ReadonlyArray<Uint8Array>
-  /** The worker stops after this. */
+  /** Time after which the worker stops the call. */
   deadlineMs: number
   /** 0 is served first, 9 last; absent for plain services. */
   urgency?: number
-  /** Goes on after this event. */
+  /** Id of the event after which the worker resumes the stream. */
   lastEventId?: string
   /** Connections to this worker that this node may open. */
   maxConnections: number
@@ -27,10 +27,13 @@
   isEventStream: boolean
 }
 
+/** Why a call brought no complete answer. */
 export type CallFailure =
+  /** No byte of the request was sent. */
   | { type: 'notSent', detail: string }
-  /** The worker said that it did not run the request; `isMisdirected` when it isn't the one that was asked for. */
+  /** The worker reported that it did not run the request; `isMisdirected` if it isn't the worker that the call names. */
   | { type: 'refused', isMisdirected: boolean, detail: string }
+  /** The call ended early after the request was sent; it may have run. */
   | { type: 'broken', detail: string }
 
 export interface IWorkerCallListener {
@@ -42,15 +45,16 @@
 }
 
 export interface IOpenWorkerCall {
-  /** Ends the call; no listener is called afterwards. */
+  /** Aborts the call; no method of the listener is called afterwards. */
   abort (): void
 }
 
 export interface IWorkerClient {
+  /** Starts a call. The listener gets either `onEnd` or `onFailed`, once, unless the call is aborted. */
   call (call: WorkerCall, listener: IWorkerCallListener): IOpenWorkerCall
   /** True when a call to the address needs no new connection. */
   hasIdleConnection (address: string): boolean
-  /** Closes idle connections to an address that no worker uses any more. */
+  /** Closes the connections to an address that no worker uses any more; calls in flight may finish. */
   forget (address: string): void
   close (): Promise<void>
 }
--- a/packages/node/src/node/routed/statusBroadcast.ts
+++ b/packages/node/src/node/routed/statusBroadcast.ts
@@ -1,4 +1,4 @@
-/** Tells the peers about this node: at once what matters to callers, the rest periodically. */
+/** Sends this node's status to its peers: periodically, and soon after a change that affects callers. */
 import type { NodeStatus } from '../../common/routed/routedPeerMessages.js'
 import { steadyNowMs } from '../steadyClock.js'
 import type { NodeDirectory } from './nodeDirectory.js'
@@ -8,25 +8,28 @@
 export interface StatusBroadcastOptions {
   mesh: PeerMesh
   directory: NodeDirectory
+  /** Creates the current status. */
   compose: () => Omit<NodeStatus, 'periodMs' | 'peers'>
 }
 
 /**
+ * Also reconnects to peers.
+ *
  * @example
  * const broadcast = new StatusBroadcast({ mesh, directory, compose })
  * broadcast.start()
- * broadcast.send() // after a change that peers must learn at once
+ * broadcast.send() // after a change that peers must receive at once
  */
 export class StatusBroadcast {
   private _timer: NodeJS.Timeout | undefined
   private _isStopped = false
-  private _sentAtMs = Number.NEGATIVE_INFINITY
-  private _sentDigest = ''
+  private _lastSentAtMs = Number.NEGATIVE_INFINITY
+  private _lastSentDigest = ''
 
   constructor (private readonly _options: StatusBroadcastOptions) {}
 
   start (): void {
-    this._timer = setInterval(() => this._keep(), STATUS_CHECK_MS)
+    this._timer = setInterval(() => this._sendIfDue(), STATUS_CHECK_MS)
   }
 
   stop (): void {
@@ -34,29 +37,30 @@
     clearInterval(this._timer)
   }
 
+  /** Sends the status at once; does nothing after `stop`. */
   send (): void {
     if (this._isStopped) return
     const { mesh, directory, compose } = this._options
     const status = { ...compose(), periodMs: this._periodMs }
     const peers = directory.alive.map(({ from }) => from)
     mesh.sendStatus({ status, peers, peersVersion: peers.map(({ incarnation }) => incarnation).join() })
-    this._sentAtMs = steadyNowMs()
-    this._sentDigest = digestOf(status)
+    this._lastSentAtMs = steadyNowMs()
+    this._lastSentDigest = digestOf(status)
   }
 
   private get _periodMs (): number {
     return statusPeriodMs(this._options.directory.size)
   }
 
-  private _keep (): void {
+  private _sendIfDue (): void {
     this._options.mesh.redial()
-    // A timer fires a little early or late: half a check decides which one is nearest.
-    const isDue = steadyNowMs() - this._sentAtMs > this._periodMs - STATUS_CHECK_MS / 2
-    if (isDue || digestOf(this._options.compose()) !== this._sentDigest) this.send()
+    // The check whose time is nearest to the end of the period sends: timers fire a little early or late.
+    const isDue = steadyNowMs() - this._lastSentAtMs > this._periodMs - STATUS_CHECK_MS / 2
+    if (isDue || digestOf(this._options.compose()) !== this._lastSentDigest) this.send()
   }
 }
 
-/** What peers must learn at once. */
+/** Digest of the fields whose changes are sent at the next check. */
 function digestOf ({ isReady, isDraining, documentVersion, owned }: ReturnType<StatusBroadcastOptions['compose']>): string {
   return [isReady, isDraining, documentVersion, ...owned.flat()].join()
 }
--- a/packages/node/src/node/routed/statusPeriod.ts
+++ b/packages/node/src/node/routed/statusPeriod.ts
@@ -1,19 +1,19 @@
-/** How often nodes tell each other of themselves, and when silence means that one is gone. */
+/** Period of the statuses between nodes, and the heartbeat timeout that follows from it. */
 
-/** How often a node looks whether its status has changed in what matters to callers. */
+/** Interval at which a node checks whether its status has changed in fields that affect callers. */
 export const STATUS_CHECK_MS = 200
-/** Time between two statuses for each peer: a node of a large system spends no more on them than one among a dozen. */
+/** Status period per peer: with more than a dozen peers, a node sends the same number of statuses per second, whatever their number. */
 const MS_PER_PEER = 16
-/** A status may be late by this; about three checks. */
-const LATENESS_MS = 600
-const LATENESS_PERIODS = 1.5
+/** Slack, about three checks, and number of periods without a status after which a peer counts as unavailable. */
+const TIMEOUT_SLACK_MS = 600
+const TIMEOUT_PERIODS = 1.5
 
-/** Silence after which a peer that sends its status every `periodMs` is taken as gone. */
+/** Time without a status after which a peer that sends one every `periodMs` counts as unavailable. */
 export function heartbeatTimeoutMs (periodMs: number): number {
-  return LATENESS_MS + LATENESS_PERIODS * periodMs
+  return TIMEOUT_SLACK_MS + TIMEOUT_PERIODS * periodMs
 }
 
-/** Time between two statuses of a node with so many peers, while nothing changes. */
-export function statusPeriodMs (peers: number): number {
-  return Math.max(STATUS_CHECK_MS, MS_PER_PEER * peers)
+/** Time between two statuses of a node with `peerCount` peers, while nothing changes. */
+export function statusPeriodMs (peerCount: number): number {
+  return Math.max(STATUS_CHECK_MS, MS_PER_PEER * peerCount)
 }
--- a/packages/node/src/routed.ts
+++ b/packages/node/src/routed.ts
@@ -1,4 +1,4 @@
-/** What a host of routed requests needs, without the parts for the project's own caller interface. */
+/** Exports for platform adapters that serve routed requests, without the caller interface of this project. */
 export * from './common/logLine.js'
 export * from './common/metrics.js'
 export * from './common/routed/eventFrames.js'
