--- a/packages/node/src/node/routed/peerMesh.ts
+++ b/packages/node/src/node/routed/peerMesh.ts
@@ -126,6 +126,7 @@
     this._dial(connection)
   }
 
+  /** Closes the connection to a peer and keeps none from now on; does nothing for an unknown peer. */
   removePeer (node: string): void {
     const connection = this._connections.get(node)
     if (connection === undefined) return
--- a/packages/node/src/node/routed/routedCall.ts
+++ b/packages/node/src/node/routed/routedCall.ts
@@ -22,7 +22,7 @@
 /** Reports of turn ends for which no caller waits are retried for this long. */
 const LATE_TURN_END_TIMEOUT_MS = 8_000
 
-/** One routed request. After `start`, the sink gets exactly one `end`, `refuse` or `abort`, or none if the caller disconnects first. */
+/** One routed request; `start` is called once. After that, the sink gets exactly one `end`, `refuse` or `abort`, or none if the caller disconnects first. */
 export class RoutedCall {
   private readonly _expiresAtMs: number
   private readonly _excluded = new Set<string>()
@@ -295,7 +295,7 @@
     return { programId: program?.programId ?? '', requestId, usedTokens, worker: this._sentCount > 0 ? this._latestAttempt?.worker.workerId : undefined, prompt }
   }
 
-  /** Reports the tokens that the caller received to the owner; the caller doesn't wait for it. */
+  /** Reports the end of the turn and its used tokens to the owner, in the background; the turn itself is not retained. */
   private _reportTurnEnd (usedTokens: number): void {
     if (!this._needsGrant) return
     void this._dependencies.turns.end(this._createTurnEnd(usedTokens), steadyNowMs() + LATE_TURN_END_TIMEOUT_MS)
