--- a/packages/core/src/common/programs/budget.ts
+++ b/packages/core/src/common/programs/budget.ts
@@ -20,14 +20,14 @@
 }
 
 /** Tokens of a text, estimated from its length. */
-export function countTokens (text: string): number {
+export function estimateTokens (text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN)
 }
 
 /** Tokens that the caller adds to the history with a call. */
 export function promptTokensOf (call: StepCall): number {
   if (call.type !== 'model') return 0
-  return call.messages.reduce((sum, message) => sum + countTokens(message.content), 0)
+  return call.messages.reduce((sum, message) => sum + estimateTokens(message.content), 0)
 }
 
 /** Tokens of the tree's budget that are neither used nor set aside by running steps. */
@@ -48,15 +48,15 @@
   if (spent.steps + outstanding.steps + openClaims >= budget.steps) return Left({ field: 'steps', limit: budget.steps })
   if (call.type === 'service') {
     if (spent.toolCalls + outstanding.toolCalls + openClaims >= budget.toolCalls) return Left({ field: 'toolCalls', limit: budget.toolCalls })
-    return Right(setAside(root, { promptTokens: 0, maxTokens: 0, toolCalls: 1 }))
+    return Right(addReservation(root, { promptTokens: 0, maxTokens: 0, toolCalls: 1 }))
   }
   const promptTokens = promptTokensOf(call)
   const maxTokens = Math.min(call.maxTokens, tokensLeft(root) - promptTokens)
   if (maxTokens < 1) return Left({ field: 'tokens', limit: budget.tokens })
-  return Right(setAside(root, { promptTokens, maxTokens, toolCalls: 0 }))
+  return Right(addReservation(root, { promptTokens, maxTokens, toolCalls: 0 }))
 }
 
-function setAside (root: LiveProgram, reservation: Reservation): Reservation {
+function addReservation (root: LiveProgram, reservation: Reservation): Reservation {
   root.outstanding.tokens += reservation.promptTokens + reservation.maxTokens
   root.outstanding.steps++
   root.outstanding.toolCalls += reservation.toolCalls
--- a/packages/core/src/common/programs/liveProgram.ts
+++ b/packages/core/src/common/programs/liveProgram.ts
@@ -29,7 +29,7 @@
   /** What running steps of the tree may still use; kept at the root. */
   outstanding: Spending
   /** Tokens used by cancelled steps, to be recorded with the next turn. */
-  carriedTokens: number
+  unrecordedTokens: number
   lastActiveMs: number
   /** Time of the last record that holds the whole state. */
   snapshotAtMs: number
@@ -51,7 +51,7 @@
     journal,
     waiting: new Map(),
     outstanding: { tokens: 0, steps: 0, toolCalls: 0 },
-    carriedTokens: 0,
+    unrecordedTokens: 0,
     lastActiveMs: nowMs,
     snapshotAtMs: nowMs,
     closedAtMs: state.closedReason === undefined ? undefined : nowMs,
--- a/packages/core/src/common/programs/modelSteps.ts
+++ b/packages/core/src/common/programs/modelSteps.ts
@@ -17,7 +17,7 @@
 import { StepEnding } from './stepEnding.js'
 
 /** The cache is kept for this many expected pauses. */
-const RETAIN_PAUSES = 4
+const RETAINED_PAUSES = 4
 
 @injectable()
 export class ModelSteps {
@@ -27,7 +27,7 @@
     @inject(ICallers) private readonly _callers: ICallers,
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IModelDispatch) private readonly _models: IModelDispatch,
-    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
+    @inject(IWorkerCoordinator) private readonly _workerCoordinator: IWorkerCoordinator,
     @inject(StepEnding) private readonly _ending: StepEnding
   ) {}
 
@@ -41,7 +41,7 @@
       return
     }
     running.cancel = reason => this._cancelBeforeDispatch(started, reason)
-    this._reserveDurably(started, reservation.promptTokens + reservation.maxTokens, () => {
+    this._recordReservation(started, reservation.promptTokens + reservation.maxTokens, () => {
       if (program.running !== running) return
       this._dispatchModel(started, call, model, request)
     })
@@ -67,12 +67,12 @@
       deadlineMs,
       fingerprint: fingerprintOf(program, running.callDigest),
       cachedWorker: cachedWorkerOf(state, model),
-      retainMs: this._leads.expectedPauseMs(state.kind) * RETAIN_PAUSES,
+      retainMs: this._workerCoordinator.expectedPauseMs(state.kind) * RETAINED_PAUSES,
       onChunk: (text, tokens) => this._handleChunk(running, text, tokens),
       onWillRetry: (maxTokens, proceed) => {
         chargedBefore += reservation.maxTokens
         const isAffordable = tokensLeft(started.root) >= chargedBefore
-        if (isAffordable) this._reserveDurably(started, reservation.promptTokens + chargedBefore + maxTokens, proceed)
+        if (isAffordable) this._recordReservation(started, reservation.promptTokens + chargedBefore + maxTokens, proceed)
         else this._ending.end(started, this._ending.unknown(started, Reason.BudgetExceeded, 'the budget does not cover another attempt'))
       },
       onDone: outcome => this._finishModel(started, model, outcome)
@@ -80,7 +80,7 @@
     running.cancel = reason => {
       job.dispose()
       program.sentStep = request.step
-      program.carriedTokens += reservation.promptTokens + reservation.maxTokens + chargedBefore
+      program.unrecordedTokens += reservation.promptTokens + reservation.maxTokens + chargedBefore
       this._ending.end(started, this._ending.unknown(started, Reason.Cancelled, `the step was stopped: ${reason}`))
     }
   }
@@ -106,15 +106,15 @@
       this._ending.end(started, this._ending.notRun(started, outcome.reason, outcome.detail, outcome.retryAfterMs))
     } else {
       program.sentStep = started.request.step
-      program.carriedTokens += reservation.promptTokens + outcome.chargedTokens
+      program.unrecordedTokens += reservation.promptTokens + outcome.chargedTokens
       this._ending.end(started, this._ending.unknown(started, outcome.reason, outcome.detail, outcome.retryAfterMs))
     }
   }
 
   /** Makes sure that the log covers what the step may use, so that a takeover never undercounts. */
-  private _reserveDurably (started: StartedStep, neededTokens: number, proceed: () => void): void {
+  private _recordReservation (started: StartedStep, neededTokens: number, proceed: () => void): void {
     const { program } = started
-    const needed = neededTokens + program.carriedTokens
+    const needed = neededTokens + program.unrecordedTokens
     if (program.state.reservedTokens >= needed) {
       proceed()
       return
--- a/packages/core/src/common/programs/programOpening.ts
+++ b/packages/core/src/common/programs/programOpening.ts
@@ -1,4 +1,4 @@
-/** Opens programs: chooses the home, admits or refuses, records. */
+/** Opens programs: chooses the owner, admits or refuses the program and records its initial state. */
 import { inject, injectable } from 'tsyringe'
 import { ICallers, type CallerExchange } from '../kernel/callerPort.js'
 import { type OpenRequest, Reason } from '../kernel/callerMessages.js'
@@ -28,17 +28,18 @@
 
 type OpenExchange = CallerExchange<OpenRequest>
 
-/** What is known when the home creates a program. */
-interface Creation {
+/** Input for the creation of a program at its owner. */
+interface ProgramCreation {
   exchange: OpenExchange
   kind: WorkKind
   parent?: LiveProgram
+  /** Worker that admitted the program; undefined for a sub-agent and for a work kind without models. */
   worker?: string
 }
 
 @injectable()
 export class ProgramOpening {
-  private readonly _byOpenKey = new Map<string, string>()
+  private readonly _programIdByOpenKey = new Map<string, string>()
   private _lastSequence = 0
 
   constructor (
@@ -50,14 +51,15 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IJournal) private readonly _journal: IJournal,
     @inject(IMembership) private readonly _membership: IMembership,
-    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
-    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
+    @inject(ICoordinatorTable) private readonly _coordinators: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _workerCoordinator: IWorkerCoordinator,
     @inject(IPlacement) private readonly _placement: IPlacement,
     @inject(IProgramRouting) private readonly _routing: IProgramRouting,
     @inject(IProgramTable) private readonly _programs: IProgramTable,
     @inject(ProgramRebuilder) private readonly _rebuilder: ProgramRebuilder
   ) {}
 
+  /** Registers the handler for open requests. */
   start (): void {
     this._callers.handle('open', exchange => this._open(exchange))
   }
@@ -73,16 +75,16 @@
       this._refuse(exchange, Reason.UnknownKind, `no work kind "${request.kind}" for customer "${request.customer}"`)
       return
     }
-    if (this._answerKnown(exchange)) return
+    if (this._answerIfAlreadyOpened(exchange)) return
     if (request.parent !== undefined) this._openChild(exchange, kind, request.parent)
     else if (request.placedWorker !== undefined) this._openHere(exchange, kind, request.placedWorker)
     else this._place(exchange, kind)
   }
 
-  /** An opening that was sent again gets the program of the first one. */
-  private _answerKnown (exchange: OpenExchange): boolean {
-    const known = this._byOpenKey.get(openKeyOf(exchange.request))
-    const program = known === undefined ? undefined : this._programs.get(known)
+  /** Replies with the existing program when the same open request was handled here before; otherwise returns false. */
+  private _answerIfAlreadyOpened (exchange: OpenExchange): boolean {
+    const programId = this._programIdByOpenKey.get(openKeyOf(exchange.request))
+    const program = programId === undefined ? undefined : this._programs.get(programId)
     if (program === undefined) return false
     this._answer(exchange, program, true)
     return true
@@ -91,17 +93,17 @@
   private _openChild (exchange: OpenExchange, kind: WorkKind, parentId: string): void {
     const onParent = (parent: LiveProgram) => {
       const root = this._programs.rootOf(parent)
-      const isForeign = parent.state.customer !== exchange.request.customer
-      if (isForeign) this._refuse(exchange, Reason.NotFound, 'no such parent program')
+      const isOtherCustomer = parent.state.customer !== exchange.request.customer
+      if (isOtherCustomer) this._refuse(exchange, Reason.NotFound, 'no such parent program')
       else if (parent.state.closedReason !== undefined) this._refuse(exchange, Reason.Closed, 'the parent program is closed')
-      else if (parent.isMoving) this._refuse(exchange, Reason.OwnerMoved, 'the parent program is moving', NOT_READY_RETRY_MS)
+      else if (parent.isMoving) this._refuse(exchange, Reason.OwnerMoved, 'the parent program is moving to a new owner', NOT_READY_RETRY_MS)
       else if (parent.state.depth + 1 > root.state.budget.depth) this._refuse(exchange, Reason.BudgetExceeded, `the budget allows ${root.state.budget.depth} levels of sub-agents`)
       else this._create({ exchange, kind, parent })
     }
-    this._routing.route(exchange, parentId, onParent, loss => {
-      const parent = loss === 'noTrace' ? this._rebuildParent(exchange, parentId) : undefined
+    this._routing.route(exchange, parentId, onParent, cause => {
+      const parent = cause === 'noTrace' ? this._rebuildParent(exchange, parentId) : undefined
       if (parent !== undefined) onParent(parent)
-      else if (loss === 'noTrace' && exchange.request.parentCopy === undefined) this._callers.reply(exchange.requestId, { type: 'historyNeeded', programId: parentId, knownStep: 0 })
+      else if (cause === 'noTrace' && exchange.request.parentCopy === undefined) this._callers.reply(exchange.requestId, { type: 'historyNeeded', programId: parentId, knownStep: 0 })
       else this._refuse(exchange, Reason.NotFound, 'no such parent program')
     })
   }
@@ -109,9 +111,10 @@
   private _rebuildParent ({ request }: OpenExchange, parentId: string): LiveProgram | undefined {
     const copy = request.parentCopy
     if (copy === undefined) return undefined
-    return this._rebuilder.rebuild({ programId: parentId, customer: request.customer, ...copy, steps: copy.history.length, doubtfulTokens: 0 })
+    return this._rebuilder.rebuild({ programId: parentId, customer: request.customer, ...copy, steps: copy.history.length, possiblyUsedTokens: 0 })
   }
 
+  /** Chooses a worker by the placement estimates; a work kind without models needs none and is opened here. */
   private _place (exchange: OpenExchange, kind: WorkKind): void {
     const model = kind.models.at(0)
     if (model === undefined) {
@@ -120,29 +123,30 @@
       return
     }
     const query = { model, customer: exchange.request.customer, kind: kind.name, rank: kind.rank, excluded: new Set<string>() }
-    this._placement.collectEstimates(query, offers => this._takeOffer(exchange, kind, offers))
+    this._placement.collectEstimates(query, estimates => this._openAtFirstEstimate(exchange, kind, estimates))
   }
 
-  private _takeOffer (exchange: OpenExchange, kind: WorkKind, offers: PlacementEstimate[]): void {
-    const best = offers.at(0)
+  /** Opens the program at the coordinator of the best worker; estimates are best first, and an unreachable coordinator's one is skipped. */
+  private _openAtFirstEstimate (exchange: OpenExchange, kind: WorkKind, estimates: PlacementEstimate[]): void {
+    const best = estimates.at(0)
     if (best === undefined) {
       this._refuse(exchange, Reason.NoBackend, 'no worker of the model is available', NO_WORKER_RETRY_MS)
       return
     }
     if (!best.isAdmitted) {
-      this._refuse(exchange, Reason.Overloaded, 'the workers carry all the programs they can', best.retryAfterMs)
+      this._refuse(exchange, Reason.Overloaded, 'no worker can admit another program', best.retryAfterMs)
       return
     }
-    const lead = this._leadTable.coordinatorOf(best.worker)
-    if (lead === undefined || lead.node === this._identity.node) {
+    const coordinator = this._coordinators.coordinatorOf(best.worker)
+    if (coordinator === undefined || coordinator.node === this._identity.node) {
       this._openHere(exchange, kind, best.worker)
       return
     }
-    const placed = { ...exchange, request: { ...exchange.request, placedWorker: best.worker } }
-    this._callers.forward(placed, { node: lead.node, incarnation: lead.incarnation ?? '', address: lead.address }, ({ wasSent }) => {
-      this._membership.markUnreachable(lead.node)
-      if (wasSent) this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.OwnerUnreachable, detail: `the connection to ${lead.node} broke`, programId: '', step: 0, retryAfterMs: NOT_READY_RETRY_MS })
-      else this._takeOffer(exchange, kind, offers.slice(1))
+    const placedExchange = { ...exchange, request: { ...exchange.request, placedWorker: best.worker } }
+    this._callers.forward(placedExchange, { node: coordinator.node, incarnation: coordinator.incarnation ?? '', address: coordinator.address }, ({ wasSent }) => {
+      this._membership.markUnreachable(coordinator.node)
+      if (wasSent) this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.OwnerUnreachable, detail: `the connection to ${coordinator.node} broke`, programId: '', step: 0, retryAfterMs: NOT_READY_RETRY_MS })
+      else this._openAtFirstEstimate(exchange, kind, estimates.slice(1))
     })
   }
 
@@ -157,14 +161,14 @@
       return
     }
     const programId = this._nextProgramId()
-    if (!this._leads.tryAdmit(worker, programId, kind.rank, kind.name)) {
-      this._refuse(exchange, Reason.Overloaded, 'the worker carries all the programs it can', this._leads.estimatePlacement(worker, kind.rank, kind.name).retryAfterMs)
+    if (!this._workerCoordinator.tryAdmit(worker, programId, kind.rank, kind.name)) {
+      this._refuse(exchange, Reason.Overloaded, 'the worker cannot admit another program', this._workerCoordinator.estimatePlacement(worker, kind.rank, kind.name).retryAfterMs)
       return
     }
     this._create({ exchange, kind, worker }, programId)
   }
 
-  private _create ({ exchange, kind, parent, worker }: Creation, programId = this._nextProgramId()): void {
+  private _create ({ exchange, kind, parent, worker }: ProgramCreation, programId = this._nextProgramId()): void {
     const nowMs = this._clock.nowMs()
     const { request } = exchange
     const state: ProgramState = {
@@ -186,14 +190,14 @@
     }
     const program = createLiveProgram(state, this._journal.current, nowMs)
     this._programs.add(program)
-    this._rememberKey(request, programId)
+    this._recordOpenKey(request, programId)
     appendWithin({
       journal: program.journal,
       timers: this._timers,
-      record: { type: 'programSnapshot', program: structuredCopy(state) },
+      record: { type: 'programSnapshot', program: copyOfNewState(state) },
       waitMs: this._settings.turnDurabilityWaitMs,
       onSettled: durability => {
-        if (durability === 'fenced') this._refuse(exchange, Reason.OwnerMoved, 'the node was replaced', NOT_READY_RETRY_MS)
+        if (durability === 'fenced') this._refuse(exchange, Reason.OwnerMoved, 'another node took over the programs of this node', NOT_READY_RETRY_MS)
         else this._answer(exchange, program, durability === 'durable')
       }
     })
@@ -223,9 +227,9 @@
     return toProgramId({ node: this._identity.node, incarnation: this._identity.incarnation, sequence: this._lastSequence.toString(36) })
   }
 
-  private _rememberKey (request: OpenRequest, programId: string): void {
-    this._byOpenKey.set(openKeyOf(request), programId)
-    if (this._byOpenKey.size > MAX_OPEN_KEYS) this._byOpenKey.delete(this._byOpenKey.keys().next().value as string)
+  private _recordOpenKey (request: OpenRequest, programId: string): void {
+    this._programIdByOpenKey.set(openKeyOf(request), programId)
+    if (this._programIdByOpenKey.size > MAX_OPEN_KEYS) this._programIdByOpenKey.delete(this._programIdByOpenKey.keys().next().value as string)
   }
 }
 
@@ -233,7 +237,7 @@
   return `${request.customer} ${request.key}`
 }
 
-/** The record keeps its own copy: the live state goes on changing. */
-function structuredCopy (state: ProgramState): ProgramState {
+/** A copy of a program's initial state for the journal record, because the live state changes later. */
+function copyOfNewState (state: ProgramState): ProgramState {
   return { ...state, turns: [], spent: { ...state.spent } }
 }
--- a/packages/core/src/common/programs/programRebuilder.ts
+++ b/packages/core/src/common/programs/programRebuilder.ts
@@ -22,7 +22,7 @@
   steps: number
   historyDigest: string
   /** Tokens that a step in flight at the lost home may have used. */
-  doubtfulTokens: number
+  possiblyUsedTokens: number
 }
 
 @injectable()
@@ -45,7 +45,7 @@
     if (turns === undefined) return undefined
     state.turns = turns
     state.spent = spendingOf(turns)
-    state.spent.tokens += copy.doubtfulTokens
+    state.spent.tokens += copy.possiblyUsedTokens
     const program = { ...createLiveProgram(state, this._journal.current, this._clock.nowMs()), isInherited: true }
     this._logger.warn('programRebuilt', { program: copy.programId, turns: turns.length })
     this._programs.add(program)
--- a/packages/core/src/common/programs/programRequests.ts
+++ b/packages/core/src/common/programs/programRequests.ts
@@ -9,7 +9,7 @@
 import { IProgramClosing } from './programClosing.js'
 import { ProgramRebuilder, reservedTokensOf } from './programRebuilder.js'
 import { historyDigestOf, nextStepOf } from './programState.js'
-import { IProgramRouting, type ProgramLoss, toRefusal } from './programRouting.js'
+import { IProgramRouting, type NotFoundCause, toRefusal } from './programRouting.js'
 import { IProgramTable } from './programTable.js'
 import { IStepRunner } from './stepRunner.js'
 
@@ -73,7 +73,7 @@
     }
     this._routing.route(exchange, exchange.request.programId,
       program => this._steps.handle(exchange, program),
-      loss => this._handleLost(exchange, loss))
+      loss => this._handleNotFound(exchange, loss))
   }
 
   private _withProgram (exchange: CallerExchange, request: { programId: string, customer: string }, onProgram: (program: LiveProgram) => void): void {
@@ -85,7 +85,7 @@
   }
 
   /** A program that the log does not know is rebuilt from the caller's copy, if the caller has one. */
-  private _handleLost (exchange: CallerExchange<StepRequest>, loss: ProgramLoss): void {
+  private _handleNotFound (exchange: CallerExchange<StepRequest>, loss: NotFoundCause): void {
     const { request } = exchange
     if (loss === 'expired') {
       this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.Expired, detail: 'the program ended, or never was', programId: request.programId, step: request.step })
@@ -103,7 +103,7 @@
       history: request.history ?? [],
       steps: request.step - 1,
       historyDigest: request.historyDigest,
-      doubtfulTokens: request.isResend ? reservedTokensOf(request.call) : 0
+      possiblyUsedTokens: request.isResend ? reservedTokensOf(request.call) : 0
     })
     if (program === undefined) {
       this._callers.reply(exchange.requestId, { type: 'historyNeeded', programId: request.programId, knownStep: 0 })
--- a/packages/core/src/common/programs/retention.ts
+++ b/packages/core/src/common/programs/programRetention.ts
@@ -9,7 +9,7 @@
 import { IProgramClosing } from './programClosing.js'
 import { IProgramTable } from './programTable.js'
 
-const SWEEP_MS = 5_000
+const SWEEP_PERIOD_MS = 5_000
 const DEFAULT_IDLE_TIMEOUT_MS = 600_000
 /** A program is recorded whole again after this share of the log's retention. */
 const SNAPSHOT_AGE_SHARE = 0.4
@@ -17,7 +17,7 @@
 const SNAPSHOTS_PER_SWEEP = 50
 
 @injectable()
-export class Retention {
+export class ProgramRetention {
   constructor (
     @inject(CoreSettings) private readonly _settings: CoreSettings,
     @inject(IClock) private readonly _clock: IClock,
@@ -28,15 +28,15 @@
   ) {}
 
   start (): void {
-    this._timers.every(SWEEP_MS, () => this._sweep())
+    this._timers.every(SWEEP_PERIOD_MS, () => this._sweep())
   }
 
   private _sweep (): void {
     const nowMs = this._clock.nowMs()
     let snapshotsLeft = SNAPSHOTS_PER_SWEEP
     for (const program of [...this._programs.all()]) {
-      if (program.closedAtMs !== undefined) this._forgetIfOld(program, nowMs)
-      else this._closeIfAbandoned(program, nowMs)
+      if (program.closedAtMs !== undefined) this._removeIfExpired(program, nowMs)
+      else this._closeIfTimedOut(program, nowMs)
       const isDue = snapshotsLeft > 0 && this._isSnapshotDue(program, nowMs)
       if (!isDue) continue
       snapshotsLeft--
@@ -45,19 +45,19 @@
     }
   }
 
-  private _forgetIfOld (program: LiveProgram, nowMs: number): void {
+  private _removeIfExpired (program: LiveProgram, nowMs: number): void {
     if (nowMs - (program.closedAtMs ?? nowMs) > this._settings.closedRetentionMs) this._programs.remove(program.state.programId)
   }
 
-  private _closeIfAbandoned (program: LiveProgram, nowMs: number): void {
+  private _closeIfTimedOut (program: LiveProgram, nowMs: number): void {
     const idleTimeoutMs = this._configuration.document?.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS
     const { openedAtMs, budget } = this._programs.rootOf(program).state
-    const isBusy = program.running !== undefined || this._hasBusyChild(program)
+    const isBusy = program.running !== undefined || this._isTreeBusy(program)
     if (nowMs - openedAtMs > budget.wallTimeMs) this._closing.close(program, 'wall time is used up')
     else if (!isBusy && nowMs - program.lastActiveMs > idleTimeoutMs) this._closing.close(program, 'abandoned')
   }
 
-  private _hasBusyChild (program: LiveProgram): boolean {
+  private _isTreeBusy (program: LiveProgram): boolean {
     const nowMs = this._clock.nowMs()
     const idleTimeoutMs = this._configuration.document?.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS
     return this._programs.treeOf(program.state.root).some(member => member !== program && member.closedAtMs === undefined &&
--- a/packages/core/src/common/programs/programRouting.ts
+++ b/packages/core/src/common/programs/programRouting.ts
@@ -1,4 +1,4 @@
-/** Brings requests about a program to its home. */
+/** Routes requests about a program to its owner. */
 import { inject, injectable } from 'tsyringe'
 import { ICallers, type CallerExchange } from '../kernel/callerPort.js'
 import { type NotRun, type Reason, Reason as ReasonValue, type StepRequest, type Unknown } from '../kernel/callerMessages.js'
@@ -11,29 +11,30 @@
 import { ITakeover } from './takeover.js'
 
 const RETRY_AFTER_MS = 500
-/** Hops after which a node looks in the log itself rather than trust another node's view. */
+/** A request with this many hops is located through the log, which cannot disagree as the nodes' views of the cluster can; a hint still goes first. */
 const MAX_TRUSTED_HOPS = 3
 const MAX_HOPS = 6
-const MAX_HINTS = 20_000
+const MAX_OWNER_HINTS = 20_000
 
-/** `expired`: the program ended, or never was. `noTrace`: its home is gone and the log does not know the program. */
-export type ProgramLoss = 'expired' | 'noTrace'
+/** Why no owner is found. `expired`: the program ended or never existed. `noTrace`: its owner is unavailable and the log holds no record of it. */
+export type NotFoundCause = 'expired' | 'noTrace'
 
-/** Decides whether a request runs here, elsewhere or nowhere. */
+/** Decides whether a request is handled by this node, by another one or by none. */
 export interface IProgramRouting {
   /**
-   * Calls `onHere` if this node is the program's home; otherwise forwards the request to the home, or calls `onLost`
-   * if the log holds no trace of the program. Answers by itself when the home cannot be reached.
+   * Calls `onLocal` if this node owns the program, maybe after it took the program over; otherwise forwards the request to the
+   * owner. Calls `onNotFound` if the id is invalid, if this node opened the program and does not hold it any more, or if the log
+   * holds no record of it. Replies to the caller itself when the owner cannot be reached or determined.
    */
-  route (exchange: CallerExchange, programId: string, onHere: (program: LiveProgram) => void, onLost: (loss: ProgramLoss) => void): void
-  /** Remembers where a program went. */
-  recordNewOwner (programId: string, home: NodeRef): void
+  route (exchange: CallerExchange, programId: string, onLocal: (program: LiveProgram) => void, onNotFound: (cause: NotFoundCause) => void): void
+  /** Stores the node that now owns a program, as a hint for later requests; the oldest hints are dropped beyond a limit. */
+  recordNewOwner (programId: string, owner: NodeRef): void
 }
 export const IProgramRouting = Symbol('IProgramRouting')
 
 @injectable()
 export class ProgramRouting implements IProgramRouting {
-  private readonly _hints = new Map<string, NodeRef>()
+  private readonly _ownerHints = new Map<string, NodeRef>()
 
   constructor (
     @inject(NodeIdentity) private readonly _identity: NodeIdentity,
@@ -45,96 +46,96 @@
     _membership.onDidSuspect(node => _callers.abandonForwards(node))
   }
 
-  route (exchange: CallerExchange, programId: string, onHere: (program: LiveProgram) => void, onLost: (loss: ProgramLoss) => void): void {
+  route (exchange: CallerExchange, programId: string, onLocal: (program: LiveProgram) => void, onNotFound: (cause: NotFoundCause) => void): void {
     const program = this._programs.get(programId)
     if (program !== undefined) {
-      onHere(program)
+      onLocal(program)
       return
     }
     const origin = parseProgramId(programId)
     if (origin === undefined) {
-      onLost('expired')
+      onNotFound('expired')
       return
     }
-    const hint = this._hints.get(programId)
+    const hint = this._ownerHints.get(programId)
     if (hint !== undefined && this._membership.isAlive(hint)) this._forward(exchange, hint)
-    else this._routeByOrigin(exchange, programId, origin, onHere, onLost)
+    else this._routeByOrigin(exchange, programId, origin, onLocal, onNotFound)
   }
 
-  recordNewOwner (programId: string, home: NodeRef): void {
-    this._hints.set(programId, home)
-    if (this._hints.size > MAX_HINTS) this._hints.delete(this._hints.keys().next().value as string)
+  recordNewOwner (programId: string, owner: NodeRef): void {
+    this._ownerHints.set(programId, owner)
+    if (this._ownerHints.size > MAX_OWNER_HINTS) this._ownerHints.delete(this._ownerHints.keys().next().value as string)
   }
 
-  private _routeByOrigin (exchange: CallerExchange, programId: string, origin: ProgramOrigin, onHere: (program: LiveProgram) => void, onLost: (loss: ProgramLoss) => void): void {
+  private _routeByOrigin (exchange: CallerExchange, programId: string, origin: ProgramOrigin, onLocal: (program: LiveProgram) => void, onNotFound: (cause: NotFoundCause) => void): void {
     const address = this._membership.findNode(origin.node)?.address ?? ''
-    const home: NodeRef = { node: origin.node, incarnation: origin.incarnation, address }
-    const isOwn = origin.node === this._identity.node && origin.incarnation === this._identity.incarnation
-    if (isOwn) {
-      // The journal knows where a program went whose new home is not reachable now.
-      if (this._hints.has(programId)) this._locate(exchange, programId, home, onHere, onLost)
-      else onLost('expired')
+    const originRef: NodeRef = { node: origin.node, incarnation: origin.incarnation, address }
+    const wasOpenedHere = origin.node === this._identity.node && origin.incarnation === this._identity.incarnation
+    if (wasOpenedHere) {
+      // The node of the hint is not alive: the journal names the current owner.
+      if (this._ownerHints.has(programId)) this._locate(exchange, programId, originRef, onLocal, onNotFound)
+      else onNotFound('expired')
       return
     }
-    const isTrusted = exchange.hops < MAX_TRUSTED_HOPS
-    if (isTrusted && this._membership.isAlive(home)) {
-      this._forward(exchange, home)
+    const mayTrustPeers = exchange.hops < MAX_TRUSTED_HOPS
+    if (mayTrustPeers && this._membership.isAlive(originRef)) {
+      this._forward(exchange, originRef)
       return
     }
-    const adopter = this._takeover.resolveNewOwner(journalOf(origin))
-    const peer = adopter === undefined ? undefined : this._membership.findNode(adopter)
-    const isElsewhere = peer !== undefined && peer.node !== this._identity.node
-    if (isTrusted && isElsewhere) {
-      // The old home may be heard again before it knows that it has lost the program.
-      const adopted = { node: peer.node, incarnation: peer.incarnation ?? '', address: peer.address }
-      if (this._membership.isTakeoverDue(home)) this.recordNewOwner(programId, adopted)
-      this._forward(exchange, adopted)
-    } else this._locate(exchange, programId, home, onHere, onLost)
+    const newOwnerId = this._takeover.resolveNewOwner(journalOf(origin))
+    const peer = newOwnerId === undefined ? undefined : this._membership.findNode(newOwnerId)
+    const isOtherNode = peer !== undefined && peer.node !== this._identity.node
+    if (mayTrustPeers && isOtherNode) {
+      // The old owner may respond again before it learns that it no longer owns the program: remember the new one.
+      const newOwner = { node: peer.node, incarnation: peer.incarnation ?? '', address: peer.address }
+      if (this._membership.isTakeoverDue(originRef)) this.recordNewOwner(programId, newOwner)
+      this._forward(exchange, newOwner)
+    } else this._locate(exchange, programId, originRef, onLocal, onNotFound)
   }
 
-  private _locate (exchange: CallerExchange, programId: string, home: NodeRef, onHere: (program: LiveProgram) => void, onLost: (loss: ProgramLoss) => void): void {
-    this._takeover.locate(programId, home, location => {
+  private _locate (exchange: CallerExchange, programId: string, originRef: NodeRef, onLocal: (program: LiveProgram) => void, onNotFound: (cause: NotFoundCause) => void): void {
+    this._takeover.locate(programId, originRef, location => {
       const program = this._programs.get(programId)
       if (program !== undefined) {
-        onHere(program)
+        onLocal(program)
         return
       }
-      if (location.type === 'at' && location.home.node !== this._identity.node && exchange.hops < MAX_HOPS) {
-        this.recordNewOwner(programId, location.home)
-        this._forward(exchange, location.home)
+      if (location.type === 'at' && location.owner.node !== this._identity.node && exchange.hops < MAX_HOPS) {
+        this.recordNewOwner(programId, location.owner)
+        this._forward(exchange, location.owner)
       } else if (location.type === 'lost') {
-        onLost('noTrace')
+        onNotFound('noTrace')
       } else {
-        this._refuse(exchange, 'the program is moving to a new home')
+        this._refuse(exchange, 'the program is moving to a new owner')
       }
     })
   }
 
-  private _forward (exchange: CallerExchange, home: NodeRef): void {
+  private _forward (exchange: CallerExchange, owner: NodeRef): void {
     if (exchange.hops >= MAX_HOPS) {
       this._refuse(exchange, 'no node could be found that holds the program')
       return
     }
-    this._callers.forward(exchange, home, ({ wasSent }) => {
+    this._callers.forward(exchange, owner, ({ wasSent }) => {
       this._forgetHint(programIdOf(exchange) ?? '')
-      this._membership.markUnreachable(home.node)
-      if (wasSent) this._answerUnknown(exchange, `the connection to ${home.node} broke`)
-      else this._refuse(exchange, `node ${home.node} could not be reached`)
+      this._membership.markUnreachable(owner.node)
+      if (wasSent) this._replyUnknown(exchange, `the connection to ${owner.node} broke`)
+      else this._refuse(exchange, `node ${owner.node} could not be reached`)
     })
   }
 
-  /** Where own programs went is kept: without it they would count as ended. */
+  /** Keeps the hints of programs that this node opened: without a hint they would count as ended. */
   private _forgetHint (programId: string): void {
     const origin = parseProgramId(programId)
-    const isOwn = origin?.node === this._identity.node && origin.incarnation === this._identity.incarnation
-    if (!isOwn) this._hints.delete(programId)
+    const wasOpenedHere = origin?.node === this._identity.node && origin.incarnation === this._identity.incarnation
+    if (!wasOpenedHere) this._ownerHints.delete(programId)
   }
 
   private _refuse (exchange: CallerExchange, detail: string): void {
     this._callers.reply(exchange.requestId, toRefusal(exchange, ReasonValue.OwnerUnreachable, detail, RETRY_AFTER_MS))
   }
 
-  private _answerUnknown (exchange: CallerExchange, detail: string): void {
+  private _replyUnknown (exchange: CallerExchange, detail: string): void {
     this._callers.reply(exchange.requestId, toUnknown(exchange, ReasonValue.OwnerUnreachable, detail, RETRY_AFTER_MS))
   }
 }
@@ -144,8 +145,8 @@
 }
 
 /**
- * A refusal by a node that is not the program's home. It says "not run" only for a request that was never sent before:
- * an earlier copy may have run elsewhere.
+ * A refusal by a node that does not own the program. It is "not run" unless the request is a step that was sent before,
+ * because the earlier copy may have run at another node.
  */
 export function toRefusal (exchange: CallerExchange, reason: Reason, detail: string, retryAfterMs: number): NotRun | Unknown {
   const { request } = exchange
--- a/packages/core/src/common/programs/programTable.ts
+++ b/packages/core/src/common/programs/programTable.ts
@@ -29,7 +29,7 @@
 @injectable()
 export class ProgramTable implements IProgramTable {
   private readonly _programs = new Map<string, LiveProgram>()
-  private readonly _children = new Map<string, Set<string>>()
+  private readonly _programIdsByRoot = new Map<string, Set<string>>()
   private readonly _didRemove = new Emitter<LiveProgram>()
   private readonly _didClose = new Emitter<LiveProgram>()
 
@@ -63,18 +63,18 @@
   add (program: LiveProgram): void {
     const { programId, root } = program.state
     this._programs.set(programId, program)
-    const tree = this._children.get(root) ?? new Set()
+    const tree = this._programIdsByRoot.get(root) ?? new Set()
     tree.add(programId)
-    this._children.set(root, tree)
+    this._programIdsByRoot.set(root, tree)
   }
 
   remove (programId: string): void {
     const program = this._programs.get(programId)
     if (program === undefined) return
     this._programs.delete(programId)
-    const tree = this._children.get(program.state.root)
+    const tree = this._programIdsByRoot.get(program.state.root)
     tree?.delete(programId)
-    if (tree?.size === 0) this._children.delete(program.state.root)
+    if (tree?.size === 0) this._programIdsByRoot.delete(program.state.root)
     this._didRemove.fire(program)
   }
 
@@ -83,7 +83,7 @@
   }
 
   treeOf (root: string): LiveProgram[] {
-    const ids = this._children.get(root) ?? new Set<string>()
+    const ids = this._programIdsByRoot.get(root) ?? new Set<string>()
     return [...ids].flatMap(id => this._programs.get(id) ?? [])
   }
 
--- a/packages/core/src/common/programs/programs.contribution.ts
+++ b/packages/core/src/common/programs/programs.contribution.ts
@@ -5,7 +5,7 @@
 import { ProgramRequests } from './programRequests.js'
 import { IProgramRouting, ProgramRouting } from './programRouting.js'
 import { IProgramTable, ProgramTable } from './programTable.js'
-import { Retention } from './retention.js'
+import { ProgramRetention } from './programRetention.js'
 import { StepEnding } from './stepEnding.js'
 import { IStepRunner, StepRunner } from './stepRunner.js'
 import { ITakeover, Takeover } from './takeover.js'
@@ -26,7 +26,7 @@
     const opening = container.resolve(ProgramOpening)
     const requests = container.resolve(ProgramRequests)
     const takeover = container.resolve(Takeover)
-    const retention = container.resolve(Retention)
+    const retention = container.resolve(ProgramRetention)
     return {
       start () {
         opening.start()
--- a/packages/core/src/common/programs/serviceSteps.ts
+++ b/packages/core/src/common/programs/serviceSteps.ts
@@ -28,12 +28,12 @@
     } else if (call.isRepeatable) {
       this._dispatchService(started, call)
     } else {
-      this._claim(started, call)
+      this._recordIntent(started, call)
     }
   }
 
   /** Appends a claim and sends the call only when the claim has landed with no fence before it. */
-  private _claim (started: StartedStep, call: ServiceCall): void {
+  private _recordIntent (started: StartedStep, call: ServiceCall): void {
     const { program, request, running, deadlineMs } = started
     const { programId } = program.state
     const attempt = this._clock.nowMs()
@@ -92,7 +92,7 @@
     if (outcome.type === 'done') {
       this._ending.complete(started, outcome.result, 0)
     } else if (outcome.type === 'notRun') {
-      if (isClaimed) this._withdraw(program)
+      if (isClaimed) this._withdrawIntent(program)
       this._ending.end(started, this._ending.notRun(started, outcome.reason, outcome.detail, outcome.retryAfterMs))
     } else {
       program.sentStep = request.step
@@ -100,7 +100,7 @@
     }
   }
 
-  private _withdraw (program: LiveProgram): void {
+  private _withdrawIntent (program: LiveProgram): void {
     const claim = program.state.openClaim
     program.state.openClaim = undefined
     if (claim !== undefined) program.journal.append({ type: 'claimWithdrawn', programId: program.state.programId, step: claim.step, attempt: claim.attempt }, () => {})
--- a/packages/core/src/common/programs/stepDecision.ts
+++ b/packages/core/src/common/programs/stepDecision.ts
@@ -1,51 +1,59 @@
-/** Decides what a step request means, from the program's state alone. */
+/** Decides how to handle a step request from the state of its program; has no side effects. */
 import type { StepRequest, Turn } from '../kernel/callerMessages.js'
 import { Reason } from '../kernel/callerMessages.js'
 import { chainDigest, digestValue } from '../base/digest.js'
 import type { LiveProgram } from './liveProgram.js'
 import { historyDigestOf, type OpenIntent, nextStepOf, type ProgramState, rebuildTurns, type RecordedTurn } from './programState.js'
 
+/** How to handle a step request. */
 export type StepDecision =
   /** The step is next: run it. */
   | { type: 'start' }
   /** The step is complete: give the recorded answer. */
   | { type: 'replay', turn: RecordedTurn }
-  /** The step runs: wait with the others for its answer. */
+  /** The step is running: wait with the other callers for its answer. */
   | { type: 'join' }
-  /** Its turn has not come. */
+  /** An earlier step is running or the program is being handed over: wait. */
   | { type: 'wait' }
-  /** A former attempt may have run: find out. */
-  | { type: 'resolveClaim', claim: OpenIntent }
-  /** The caller goes on although the fate of the step before is not known. */
-  | { type: 'recordUnknown', claim: OpenIntent }
-  /** The caller's copy of the history fills what is missing here. */
+  /** An earlier attempt of this non-repeatable step may have run: look for its result. */
+  | { type: 'resolveClaim', intent: OpenIntent }
+  /** The caller continues although the outcome of the previous step is not known: record that step as unknown. */
+  | { type: 'recordUnknown', intent: OpenIntent }
+  /** The caller's copy of the history has the turns that are missing here. */
   | { type: 'resupply', missing: RecordedTurn[] }
+  /** Turns are missing here and the request has no history: ask the caller for it. `knownStep` is the last step recorded here. */
   | { type: 'historyNeeded', knownStep: number }
   | { type: 'refuse', reason: Reason, detail: string }
 
-/** Reads what a step request asks for. `callDigest` is the digest of its call. */
+/**
+ * Decides how to handle a step request at the program's owner.
+ *
+ * @param callDigest digest of the request's call.
+ * @param maxWaiting most steps that may wait behind a running one.
+ */
 export function decideStep (program: LiveProgram, request: StepRequest, callDigest: string, maxWaiting: number): StepDecision {
   const { state, running } = program
   const next = nextStepOf(state)
-  if (request.step < next) return decideRecorded(state, request, callDigest)
+  if (request.step < next) return decideRecordedStep(state, request, callDigest)
   if (state.closedReason !== undefined) return refuse(Reason.Closed, `the program is closed: ${state.closedReason}`)
   if (program.isMoving) return { type: 'wait' }
-  if (running !== undefined) return decideBesideRunning(program, request, callDigest, maxWaiting)
-  if (state.openClaim !== undefined) return decideBehindClaim(state, state.openClaim, request, callDigest)
-  if (request.step > next) return decideGap(state, request)
+  if (running !== undefined) return decideWhileRunning(program, request, callDigest, maxWaiting)
+  if (state.openClaim !== undefined) return decideWithOpenIntent(state, state.openClaim, request, callDigest)
+  if (request.step > next) return decideAfterMissingTurns(state, request)
   if (request.historyDigest !== historyDigestOf(state)) return refuse(Reason.HistoryMismatch, 'the history digest differs from the recorded history')
   return { type: 'start' }
 }
 
-/** The digest that the history would have if a claimed step were recorded as unknown. */
-export function digestWithUnknown (state: ProgramState, claim: OpenIntent): string {
-  return chainDigest(historyDigestOf(state), claim.step, claim.callDigest, digestValue({ type: 'unknown' }))
+/** The digest that the history would have if the step of an open intent were recorded as unknown. */
+export function digestWithUnknown (state: ProgramState, intent: OpenIntent): string {
+  return chainDigest(historyDigestOf(state), intent.step, intent.callDigest, digestValue({ type: 'unknown' }))
 }
 
 /**
- * Checks a caller's copy of the history against a digest and against the turns that are known.
+ * Checks a caller's copy of the history against a digest and against the turns recorded here. The digest of an empty copy is not
+ * checked.
  *
- * @returns the turns that are missing here, or undefined when the copy is not this program's history.
+ * @returns the turns that are missing here, or undefined when the copy is not this program's history or has fewer turns than are recorded.
  */
 export function verifyHistory (state: ProgramState, history: Turn[], expectedDigest: string): RecordedTurn[] | undefined {
   const rebuilt = rebuildTurns(state.programId, history)
@@ -57,7 +65,7 @@
   return rebuilt.slice(known)
 }
 
-function decideRecorded (state: ProgramState, request: StepRequest, callDigest: string): StepDecision {
+function decideRecordedStep (state: ProgramState, request: StepRequest, callDigest: string): StepDecision {
   const turn = state.turns[request.step - 1]
   if (turn === undefined || turn.key !== request.key || turn.callDigest !== callDigest) {
     return refuse(Reason.KeyReused, `step ${request.step} is recorded with another key or body`)
@@ -65,27 +73,27 @@
   return { type: 'replay', turn }
 }
 
-function decideBesideRunning (program: LiveProgram, request: StepRequest, callDigest: string, maxWaiting: number): StepDecision {
+function decideWhileRunning (program: LiveProgram, request: StepRequest, callDigest: string, maxWaiting: number): StepDecision {
   const { running, waiting } = program
   if (request.step === running?.step) {
     const isSame = running.key === request.key && running.callDigest === callDigest
-    return isSame ? { type: 'join' } : refuse(Reason.KeyReused, `step ${request.step} runs with another key or body`)
+    return isSame ? { type: 'join' } : refuse(Reason.KeyReused, `step ${request.step} is running with another key or body`)
   }
   const isFull = waiting.size >= maxWaiting && !waiting.has(request.step)
-  return isFull ? refuse(Reason.OutOfOrder, `${waiting.size} steps wait already`) : { type: 'wait' }
+  return isFull ? refuse(Reason.OutOfOrder, `${waiting.size} steps are already waiting`) : { type: 'wait' }
 }
 
-function decideBehindClaim (state: ProgramState, claim: OpenIntent, request: StepRequest, callDigest: string): StepDecision {
-  if (request.step === claim.step) {
-    const isSame = claim.key === request.key && claim.callDigest === callDigest
-    return isSame ? { type: 'resolveClaim', claim } : refuse(Reason.KeyReused, `step ${request.step} was claimed with another key or body`)
+function decideWithOpenIntent (state: ProgramState, intent: OpenIntent, request: StepRequest, callDigest: string): StepDecision {
+  if (request.step === intent.step) {
+    const isSame = intent.key === request.key && intent.callDigest === callDigest
+    return isSame ? { type: 'resolveClaim', intent } : refuse(Reason.KeyReused, `step ${request.step} was started with another key or body`)
   }
-  const goesOn = request.step === claim.step + 1 && request.historyDigest === digestWithUnknown(state, claim)
-  if (goesOn) return { type: 'recordUnknown', claim }
-  return decideGap(state, request)
+  const isUnknownAccepted = request.step === intent.step + 1 && request.historyDigest === digestWithUnknown(state, intent)
+  if (isUnknownAccepted) return { type: 'recordUnknown', intent }
+  return decideAfterMissingTurns(state, request)
 }
 
-function decideGap (state: ProgramState, request: StepRequest): StepDecision {
+function decideAfterMissingTurns (state: ProgramState, request: StepRequest): StepDecision {
   const knownStep = state.turns.length
   if (request.history === undefined || request.history.length !== request.step - 1) return { type: 'historyNeeded', knownStep }
   const missing = verifyHistory(state, request.history, request.historyDigest)
--- a/packages/core/src/common/programs/stepEnding.ts
+++ b/packages/core/src/common/programs/stepEnding.ts
@@ -36,7 +36,7 @@
   /** Records the result, then answers; the answer does not wait for a log that is down. */
   complete (started: StartedStep, result: StepResult, chargedTokens: number, ranOn?: { model: string, worker: string }): void {
     const { program, root, request, running, reservation } = started
-    const spentTokens = chargedTokens + program.carriedTokens
+    const spentTokens = chargedTokens + program.unrecordedTokens
     const reservedTokens = Math.max(0, Math.min(tokensLeft(root), Math.max(MIN_RESERVED_TOKENS, 2 * (reservation.promptTokens + reservation.maxTokens))))
     running.cancel = undefined
     appendWithin({
@@ -50,7 +50,7 @@
           this.end(started, this.unknown(started, Reason.OwnerMoved, 'the program has a new home', RETRY_AFTER_MS))
           return
         }
-        program.carriedTokens = 0
+        program.unrecordedTokens = 0
         program.state.reservedTokens = reservedTokens
         const turn = addTurn(program.state, { step: request.step, key: request.key, call: request.call, callDigest: running.callDigest, result })
         recordSpending(root, request.call, spentTokens)
--- a/packages/core/src/common/programs/stepRunner.ts
+++ b/packages/core/src/common/programs/stepRunner.ts
@@ -1,4 +1,4 @@
-/** Takes step requests at the program's home: decides what each means, starts steps in order, joins and replays. */
+/** Handles step requests at the program's owner: starts steps in order, joins running ones and replays recorded answers. */
 import { inject, injectable } from 'tsyringe'
 import { ICallers, type CallerExchange } from '../kernel/callerPort.js'
 import { type CallerReply, Reason, type StepRequest, type StepResult, type Unknown } from '../kernel/callerMessages.js'
@@ -27,10 +27,11 @@
 
 type StepExchange = CallerExchange<StepRequest>
 
-/** Runs steps of programs that are at home here. */
+/** Runs the steps of programs that this node owns. */
 export interface IStepRunner {
+  /** Starts, joins, replays, queues or refuses a step that a caller sent. */
   handle (exchange: StepExchange, program: LiveProgram): void
-  /** Stops a running model call. */
+  /** Stops a running call; false when the step is not running or its call cannot be stopped any more. */
   cancel (program: LiveProgram, step: number): boolean
 }
 export const IStepRunner = Symbol('IStepRunner')
@@ -48,10 +49,10 @@
     @inject(ModelSteps) private readonly _modelSteps: ModelSteps,
     @inject(ServiceSteps) private readonly _serviceSteps: ServiceSteps,
     @inject(StepEnding) private readonly _ending: StepEnding,
-    @inject(IntentResolver) private readonly _claims: IntentResolver,
+    @inject(IntentResolver) private readonly _intentResolver: IntentResolver,
     @inject(ILogger) private readonly _logger: ILogger
   ) {
-    _ending.onDidEnd(program => this._startWaiting(program))
+    _ending.onDidEnd(program => this._startNextWaiting(program))
   }
 
   handle (exchange: StepExchange, program: LiveProgram): void {
@@ -68,10 +69,10 @@
       case 'replay': return this._replay(exchange, program, decision.turn)
       case 'join': return this._join(exchange, program)
       case 'wait': return this._wait(exchange, program)
-      case 'resolveClaim': return this._resolveClaim(exchange, program, decision.claim)
-      case 'recordUnknown': return this._recordUnknown(exchange, program, decision.claim)
-      case 'resupply': return this._resupply(exchange, program, decision.missing)
-      case 'historyNeeded': return this._askHistory(exchange, decision.knownStep)
+      case 'resolveClaim': return this._resolveIntent(exchange, program, decision.intent)
+      case 'recordUnknown': return this._recordUnknown(exchange, program, decision.intent)
+      case 'resupply': return this._addMissingTurns(exchange, program, decision.missing)
+      case 'historyNeeded': return this._requestHistory(exchange, decision.knownStep)
       case 'refuse':
         if (decision.reason === Reason.HistoryMismatch) return this._refuseMismatch(exchange, program, decision.detail)
         return this._ending.refuse(exchange, program, decision.reason, decision.detail)
@@ -85,7 +86,7 @@
     return true
   }
 
-  /** A caller that asked for a stream gets the whole text again, whatever it had received before. */
+  /** Sends the recorded answer again; a caller that asked for a stream gets the whole text, also the part it already had. */
   private _replay ({ requestId, request }: StepExchange, program: LiveProgram, turn: RecordedTurn): void {
     const { result } = turn
     if (request.isStreamed && result.type === 'model') {
@@ -95,14 +96,14 @@
   }
 
   /**
-   * A history that differs may mean that this node has lost the program to another one without knowing it yet: only a
-   * look at its own journal can tell, and while the log does not answer nobody can.
+   * Refuses a step whose history differs. Another node may have fenced the journal and taken the program over unnoticed, so the
+   * journal is checked for a fence first; the refusal is temporary while the log does not answer.
    */
   private _refuseMismatch (exchange: StepExchange, program: LiveProgram, detail: string): void {
     program.journal.checkFence(isComplete => {
       if (program.journal.isFenced) this._callers.dispatchAgain(exchange)
       else if (isComplete) this._ending.refuse(exchange, program, Reason.HistoryMismatch, detail)
-      else this._callers.reply(exchange.requestId, toRefusal(exchange, Reason.LogUnavailable, 'the home cannot tell whether it still holds the program', MISMATCH_RETRY_MS))
+      else this._callers.reply(exchange.requestId, toRefusal(exchange, Reason.LogUnavailable, 'the owner cannot verify that it still holds the program', MISMATCH_RETRY_MS))
     })
   }
 
@@ -112,34 +113,34 @@
     const { request } = exchange
     const nowMs = this._clock.nowMs()
     const root = this._programs.rootOf(program)
-    const openClaims = this._programs.treeOf(root.state.programId).filter(member => member.state.openClaim !== undefined && member.running === undefined).length
-    const reserved = reserveBudget(root, request.call, nowMs, openClaims)
-    if (reserved.isLeft()) {
-      const problem = reserved.extract() as { field: string, limit: number }
+    const openIntentCount = this._programs.treeOf(root.state.programId).filter(member => member.state.openClaim !== undefined && member.running === undefined).length
+    const reservation = reserveBudget(root, request.call, nowMs, openIntentCount)
+    if (reservation.isLeft()) {
+      const problem = reservation.extract() as { field: string, limit: number }
       this._ending.refuse(exchange, program, Reason.BudgetExceeded, `the budget allows ${problem.limit} ${problem.field}`)
       if (problem.field === 'wallTimeMs') this._closing.close(root, 'wall time is used up')
       return
     }
     const running: RunningStep = { step: request.step, key: request.key, callDigest, startedAtMs: nowMs, listeners: new Map(), text: '', tokens: 0 }
     program.running = running
-    this._listen(exchange, program, running)
+    this._addListener(exchange, program, running)
     const wallLeftMs = root.state.openedAtMs + root.state.budget.wallTimeMs - nowMs
     const deadlineMs = nowMs + Math.min(request.timeoutMs, wallLeftMs)
-    const started: StartedStep = { program, root, request, running, reservation: reserved.extract() as Reservation, deadlineMs }
+    const started: StartedStep = { program, root, request, running, reservation: reservation.extract() as Reservation, deadlineMs }
     if (request.call.type === 'model') this._modelSteps.start(started, request.call)
     else this._serviceSteps.start(started, request.call)
   }
 
-  private _listen (exchange: StepExchange, program: LiveProgram, running: RunningStep): void {
+  private _addListener (exchange: StepExchange, program: LiveProgram, running: RunningStep): void {
     running.listeners.set(exchange.requestId, { isStreamed: exchange.request.isStreamed })
     this._callers.onGone(exchange.requestId, () => {
       running.listeners.delete(exchange.requestId)
-      if (running.listeners.size === 0) this._awaitReturn(program, running)
+      if (running.listeners.size === 0) this._cancelIfAbandoned(program, running)
     })
   }
 
-  /** A call whose callers all left goes on for a while, so that a caller that lost its connection finds it running. */
-  private _awaitReturn (program: LiveProgram, running: RunningStep): void {
+  /** Cancels a call without callers after a grace period, in which a caller that lost its connection may join it again. */
+  private _cancelIfAbandoned (program: LiveProgram, running: RunningStep): void {
     const graceMs = this._configuration.document?.abandonGraceMs ?? 0
     this._timers.after(graceMs, () => {
       const isAbandoned = program.running === running && running.listeners.size === 0
@@ -149,7 +150,7 @@
 
   private _join (exchange: StepExchange, program: LiveProgram): void {
     const running = program.running as RunningStep
-    this._listen(exchange, program, running)
+    this._addListener(exchange, program, running)
     if (exchange.request.isStreamed && running.text !== '') {
       this._callers.reply(exchange.requestId, { type: 'chunk', text: running.text, tokens: running.tokens })
     }
@@ -157,41 +158,42 @@
 
   private _wait (exchange: StepExchange, program: LiveProgram): void {
     const { step, timeoutMs } = exchange.request
-    const former = program.waiting.get(step)
+    const replaced = program.waiting.get(step)
     program.waiting.set(step, exchange)
-    if (former !== undefined) this._ending.refuse(former, program, Reason.BusyStep, 'the step was sent again')
+    if (replaced !== undefined) this._ending.refuse(replaced, program, Reason.BusyStep, 'the step was sent again')
     this._timers.after(timeoutMs, () => {
       if (program.waiting.get(step) !== exchange) return
       program.waiting.delete(step)
-      this._ending.refuse(exchange, program, Reason.DeadlineExceeded, 'the steps before did not end in time')
+      this._ending.refuse(exchange, program, Reason.DeadlineExceeded, 'the earlier steps did not end in time')
     })
   }
 
-  private _startWaiting (program: LiveProgram): void {
+  private _startNextWaiting (program: LiveProgram): void {
     const next = program.waiting.get(nextStepOf(program.state))
     if (next === undefined || program.isMoving) return
     program.waiting.delete(next.request.step)
     this.handle(next, program)
   }
 
-  // History and claims
+  // History and open intents
 
-  private _resolveClaim (exchange: StepExchange, program: LiveProgram, claim: OpenIntent): void {
-    this._claims.resolve(program, claim, idempotencyKeyOf(program, exchange.request), result => {
-      if (program.state.openClaim !== claim) {
+  private _resolveIntent (exchange: StepExchange, program: LiveProgram, intent: OpenIntent): void {
+    this._intentResolver.resolve(program, intent, idempotencyKeyOf(program, exchange.request), result => {
+      if (program.state.openClaim !== intent) {
         this.handle(exchange, program)
         return
       }
       if (result === undefined) {
-        this._callers.reply(exchange.requestId, this._unknownClaim(program, claim))
+        this._callers.reply(exchange.requestId, this._toUnknownReply(program, intent))
         return
       }
-      this._recordResolved(program, claim, result, answer => this._callers.reply(exchange.requestId, answer))
+      this._recordResolved(program, intent, result, answer => this._callers.reply(exchange.requestId, answer))
     })
   }
 
-  private _recordResolved (program: LiveProgram, claim: OpenIntent, result: StepResult, onAnswer: (answer: CallerReply) => void): void {
-    const { step, key, call, callDigest } = claim
+  /** Records the result of an open intent; its call was sent earlier and costs no tokens. */
+  private _recordResolved (program: LiveProgram, intent: OpenIntent, result: StepResult, onAnswer: (answer: CallerReply) => void): void {
+    const { step, key, call, callDigest } = intent
     const turn = addTurn(program.state, { step, key, call, callDigest, result })
     recordSpending(this._programs.rootOf(program), call, 0)
     appendWithin({
@@ -203,24 +205,24 @@
     })
   }
 
-  private _recordUnknown (exchange: StepExchange, program: LiveProgram, claim: OpenIntent): void {
-    this._logger.warn('stepRecordedUnknown', { program: program.state.programId, step: claim.step })
-    this._recordResolved(program, claim, { type: 'unknown' }, () => this.handle(exchange, program))
+  private _recordUnknown (exchange: StepExchange, program: LiveProgram, intent: OpenIntent): void {
+    this._logger.warn('stepRecordedUnknown', { program: program.state.programId, step: intent.step })
+    this._recordResolved(program, intent, { type: 'unknown' }, () => this.handle(exchange, program))
   }
 
-  private _unknownClaim (program: LiveProgram, claim: OpenIntent): Unknown {
+  private _toUnknownReply (program: LiveProgram, intent: OpenIntent): Unknown {
     return {
       type: 'unknown',
       reason: Reason.AnswerLost,
       detail: 'the step was sent and its answer is lost; it is never sent again',
       programId: program.state.programId,
-      step: claim.step,
-      historyDigest: digestWithUnknown(program.state, claim)
+      step: intent.step,
+      historyDigest: digestWithUnknown(program.state, intent)
     }
   }
 
-  /** Takes the turns that are missing here from the caller's copy, whose digests have been checked. */
-  private _resupply (exchange: StepExchange, program: LiveProgram, missing: RecordedTurn[]): void {
+  /** Adds the turns that are missing here from the caller's copy, whose digests have been checked, and handles the request again. */
+  private _addMissingTurns (exchange: StepExchange, program: LiveProgram, missing: RecordedTurn[]): void {
     const root = this._programs.rootOf(program)
     this._logger.info('historyResupplied', { program: program.state.programId, turns: missing.length })
     for (const turn of missing) {
@@ -232,7 +234,7 @@
     this.handle({ ...exchange, request: { ...exchange.request, history: undefined } }, program)
   }
 
-  private _askHistory (exchange: StepExchange, knownStep: number): void {
+  private _requestHistory (exchange: StepExchange, knownStep: number): void {
     this._callers.reply(exchange.requestId, { type: 'historyNeeded', programId: exchange.request.programId, knownStep })
   }
 }
--- a/packages/core/src/common/programs/takeover.ts
+++ b/packages/core/src/common/programs/takeover.ts
@@ -1,7 +1,8 @@
 /**
- * Takes over programs of nodes that are gone: fence the journal, fold it, adopt what it holds.
+ * Takes over the programs of unavailable nodes: fences a node's journal, folds it and transfers the programs in it.
  *
- * The fence works like a leader epoch of a replicated log: records of the old writer behind it are void
+ * The fence works like a leader epoch of a replicated log: records that the old writer appends after it are ignored, except
+ * the result of a step whose intent was recorded before it
  * ("Kafka Internals: the replicated log", section "When the leader dies: a clean handover").
  */
 import { inject, injectable } from 'tsyringe'
@@ -22,38 +23,47 @@
 import { IProgramTable } from './programTable.js'
 import type { ProgramState } from './programState.js'
 
-const CHECK_PERIOD_MS = 1_000
-const RETRY_MS = 500
-const MAX_CHAIN_LENGTH = 32
+const JOURNAL_CHECK_PERIOD_MS = 1_000
+const PUBLISH_RETRY_MS = 500
+const MAX_OWNERSHIP_TRANSFERS = 32
 const PUBLISH_TIMEOUT_MS = 60_000
 
-/** Where a program is. `lost`: the log holds no trace of it. `unavailable`: the log did not answer. */
-export type Location =
+/**
+ * Where a program is. `here`: in this node's program table. `at`: at another live node.
+ * `lost`: the log holds no trace of it, or its ownership was transferred too often to follow.
+ * `unavailable`: the owner cannot be determined now, because the log did not answer or a takeover is not due or not complete.
+ */
+export type ProgramLocation =
   | { type: 'here' }
-  | { type: 'at', home: NodeRef }
+  | { type: 'at', owner: NodeRef }
   | { type: 'lost' }
   | { type: 'unavailable' }
 
-/** Moves programs away from runs of the daemon that have ended. */
+/** Transfers programs away from runs of the daemon that have ended. */
 export interface ITakeover {
-  /** The live node that should take a journal over. */
+  /** The id of the live node that should take a journal over; undefined when no live node is known. */
   resolveNewOwner (journal: string): string | undefined
-  /** Finds a program by the journals; takes its last home's journal over when that home is gone. */
-  locate (programId: string, origin: NodeRef, onLocated: (location: Location) => void): void
+  /**
+   * Finds a program through the journals, from its `origin` on, and takes over the journal of its last owner when that owner
+   * is unavailable and its takeover is due. Calls `onLocated` once, maybe before it returns.
+   */
+  locate (programId: string, origin: NodeRef, onLocated: (location: ProgramLocation) => void): void
 }
 export const ITakeover = Symbol('ITakeover')
 
-interface Attempt {
+/** A takeover of one journal in progress. */
+interface TakeoverAttempt {
   journal: string
+  /** The node run that wrote the journal. */
   writer: NodeRef
-  waiting: Array<(isComplete: boolean) => void>
+  onDoneCallbacks: Array<(isComplete: boolean) => void>
 }
 
 @injectable()
 export class Takeover implements ITakeover {
-  private readonly _attempts = new Map<string, Attempt>()
-  private readonly _finished = new Set<string>()
-  private _lastRecord = 0
+  private readonly _attemptsByJournal = new Map<string, TakeoverAttempt>()
+  private readonly _finishedJournals = new Set<string>()
+  private _lastRecordNumber = 0
 
   constructor (
     @inject(NodeIdentity) private readonly _identity: NodeIdentity,
@@ -69,35 +79,37 @@
     @inject(ILogger) private readonly _logger: ILogger
   ) {}
 
+  /** Starts the periodic check for journals to take over. */
   start (): void {
-    this._timers.every(CHECK_PERIOD_MS, () => this._checkJournals())
+    this._timers.every(JOURNAL_CHECK_PERIOD_MS, () => this._checkJournals())
   }
 
   resolveNewOwner (journal: string): string | undefined {
     return resolveOwner(journal, this._membership.liveNodes(), peer => peer.node)?.node
   }
 
-  locate (programId: string, origin: NodeRef, onLocated: (location: Location) => void): void {
-    this._follow(programId, origin, 0, onLocated)
+  locate (programId: string, origin: NodeRef, onLocated: (location: ProgramLocation) => void): void {
+    this._followTransfers(programId, origin, 0, onLocated)
   }
 
-  /** Takes over every journal on the control stream whose writer is gone and whose adopter is this node. */
+  /** Takes over every journal on the control stream whose takeover is due and whose new owner is this node. */
   private _checkJournals (): void {
     if (this._membership.isDraining) return
     for (const { journal, node } of this._configuration.state.journals) {
-      if (isSameNode(node, this._identity) || this._finished.has(journal)) continue
+      if (isSameNode(node, this._identity) || this._finishedJournals.has(journal)) continue
       if (!this._membership.isTakeoverDue(node)) continue
       if (this.resolveNewOwner(journal) !== this._identity.node) continue
-      this._adoptJournal(journal, node, () => {})
+      this._takeOverJournal(journal, node, () => {})
     }
   }
 
-  private _follow (programId: string, writer: NodeRef, length: number, onLocated: (location: Location) => void): void {
+  /** Reads the journal of `writer` and follows the ownership transfers of the program that it names. */
+  private _followTransfers (programId: string, writer: NodeRef, transferCount: number, onLocated: (location: ProgramLocation) => void): void {
     if (this._programs.get(programId) !== undefined) {
       onLocated({ type: 'here' })
       return
     }
-    if (length > MAX_CHAIN_LENGTH) {
+    if (transferCount > MAX_OWNERSHIP_TRANSFERS) {
       onLocated({ type: 'lost' })
       return
     }
@@ -106,21 +118,21 @@
         onLocated({ type: 'unavailable' })
         return
       }
-      const next = state.adoptions.get(programId)
-      if (next !== undefined) this._follow(programId, next, length + 1, onLocated)
-      else this._locateLast(programId, writer, state, length, onLocated)
+      const nextOwner = state.adoptions.get(programId)
+      if (nextOwner !== undefined) this._followTransfers(programId, nextOwner, transferCount + 1, onLocated)
+      else this._locateAtLastOwner(programId, writer, state, transferCount, onLocated)
     })
   }
 
-  /** `writer` is the last home that the journals name. */
-  private _locateLast (programId: string, writer: NodeRef, state: JournalState, length: number, onLocated: (location: Location) => void): void {
+  /** Locates a program whose last owner named by the journals is `writer`. */
+  private _locateAtLastOwner (programId: string, writer: NodeRef, state: JournalState, transferCount: number, onLocated: (location: ProgramLocation) => void): void {
     if (this._programs.get(programId) !== undefined) {
       onLocated({ type: 'here' })
       return
     }
-    const isOwn = isSameNode(writer, this._identity)
-    if (!isOwn && state.fence === undefined && this._membership.isAlive(writer)) {
-      onLocated({ type: 'at', home: this._withAddress(writer) })
+    const isOwnJournal = isSameNode(writer, this._identity)
+    if (!isOwnJournal && state.fence === undefined && this._membership.isAlive(writer)) {
+      onLocated({ type: 'at', owner: this._withAddress(writer) })
       return
     }
     if (!state.programs.has(programId)) {
@@ -128,17 +140,17 @@
       return
     }
     const isFencedByLiveNode = state.fence !== undefined && !isSameNode(state.fence.by, this._identity) && this._membership.isAlive(state.fence.by)
-    if (isFencedByLiveNode && length === 0) {
-      onLocated({ type: 'at', home: this._withAddress((state.fence as { by: NodeRef }).by) })
+    if (isFencedByLiveNode && transferCount === 0) {
+      onLocated({ type: 'at', owner: this._withAddress((state.fence as { by: NodeRef }).by) })
       return
     }
-    if (isOwn || !this._membership.isTakeoverDue(writer)) {
+    if (isOwnJournal || !this._membership.isTakeoverDue(writer)) {
       onLocated({ type: 'unavailable' })
       return
     }
-    this._adoptJournal(journalOf(writer), writer, isComplete => {
+    this._takeOverJournal(journalOf(writer), writer, isComplete => {
       if (this._programs.get(programId) !== undefined) onLocated({ type: 'here' })
-      else if (isComplete) this._follow(programId, writer, length + 1, onLocated)
+      else if (isComplete) this._followTransfers(programId, writer, transferCount + 1, onLocated)
       else onLocated({ type: 'unavailable' })
     })
   }
@@ -147,136 +159,138 @@
     return { ...node, address: this._membership.findNode(node.node)?.address ?? node.address }
   }
 
-  private _adoptJournal (journal: string, writer: NodeRef, onDone: (isComplete: boolean) => void): void {
-    const running = this._attempts.get(journal)
+  private _takeOverJournal (journal: string, writer: NodeRef, onDone: (isComplete: boolean) => void): void {
+    const running = this._attemptsByJournal.get(journal)
     if (running !== undefined) {
-      running.waiting.push(onDone)
+      running.onDoneCallbacks.push(onDone)
       return
     }
-    const attempt: Attempt = { journal, writer, waiting: [onDone] }
-    this._attempts.set(journal, attempt)
+    const attempt: TakeoverAttempt = { journal, writer, onDoneCallbacks: [onDone] }
+    this._attemptsByJournal.set(journal, attempt)
     this._logger.info('takeoverStarted', { journal })
-    this._fence(attempt)
+    this._ensureFence(attempt)
   }
 
-  private _finish (attempt: Attempt, isComplete: boolean): void {
-    this._attempts.delete(attempt.journal)
-    for (const onDone of attempt.waiting) onDone(isComplete)
+  private _endAttempt (attempt: TakeoverAttempt, isComplete: boolean): void {
+    this._attemptsByJournal.delete(attempt.journal)
+    for (const onDone of attempt.onDoneCallbacks) onDone(isComplete)
   }
 
-  private _giveUp (attempt: Attempt): void {
+  private _postponeTakeover (attempt: TakeoverAttempt): void {
     this._logger.warn('takeoverPostponed', { journal: attempt.journal })
-    this._finish(attempt, false)
+    this._endAttempt(attempt, false)
   }
 
-  /** Appends a fence, unless the journal has one, and folds everything up to it. */
-  private _fence (attempt: Attempt): void {
+  /** Folds the journal and appends a fence unless it has one. */
+  private _ensureFence (attempt: TakeoverAttempt): void {
     this._reader.readJournal(attempt.journal, state => {
-      if (state === undefined) this._giveUp(attempt)
-      else if (state.fence !== undefined) this._prepare(attempt, state)
+      if (state === undefined) this._postponeTakeover(attempt)
+      else if (state.fence !== undefined) this._recordSnapshots(attempt, state)
       else this._appendFence(attempt, state)
     })
   }
 
-  private _appendFence (attempt: Attempt, state: JournalState): void {
+  private _appendFence (attempt: TakeoverAttempt, state: JournalState): void {
     const fence: Fenced = { id: this._nextRecordId(), type: 'fenced', by: this._selfRef() }
     this._log.append(attempt.journal, [fence], () => {
-      this._reader.readJournal(attempt.journal, read => {
-        if (read?.fence !== undefined) this._prepare(attempt, read)
-        else this._giveUp(attempt)
+      this._reader.readJournal(attempt.journal, fencedState => {
+        if (fencedState?.fence !== undefined) this._recordSnapshots(attempt, fencedState)
+        else this._postponeTakeover(attempt)
       }, state)
     })
   }
 
-  /** Records the programs in the own journal first, so that an adoption never names a home that lacks their state. */
-  private _prepare (attempt: Attempt, state: JournalState): void {
-    this._verifyAdopted(attempt, state, programs => {
-      const wanted = settlePrograms(programs.filter(program => !state.adoptions.has(program.programId)))
-      const own = this._journal.current
-      if (wanted.length === 0) {
+  /** Appends the programs to this node's journal first: a transfer record must never name an owner that lacks their state. */
+  private _recordSnapshots (attempt: TakeoverAttempt, state: JournalState): void {
+    this._selectOwnedPrograms(attempt, state, programs => {
+      const transferable = countReservedAsSpent(programs.filter(program => !state.adoptions.has(program.programId)))
+      const ownEpoch = this._journal.current
+      if (transferable.length === 0) {
         this._markFinished(attempt, 0)
         return
       }
-      let missing = wanted.length
-      for (const program of wanted) {
-        own.append({ type: 'programSnapshot', program: cloneProgram(program), adoptedFrom: attempt.journal }, outcome => {
-          missing--
-          if (missing === 0) this._adopt(attempt, state, own, wanted, outcome.type === 'landed')
+      let unrecordedCount = transferable.length
+      for (const program of transferable) {
+        ownEpoch.append({ type: 'programSnapshot', program: cloneProgram(program), adoptedFrom: attempt.journal }, outcome => {
+          unrecordedCount--
+          if (unrecordedCount === 0) this._recordTransfer(attempt, state, ownEpoch, transferable, outcome.type === 'landed')
         })
       }
     })
   }
 
   /**
-   * Drops programs that the dead node had not adopted completely: their snapshot counts only if the journal
-   * that they came from names the dead node.
+   * Omits programs whose transfer to the unavailable node was not complete: a snapshot taken from another journal counts only
+   * if that journal names the unavailable node as the new owner.
    */
-  private _verifyAdopted (attempt: Attempt, state: JournalState, onVerified: (programs: ProgramState[]) => void): void {
+  private _selectOwnedPrograms (attempt: TakeoverAttempt, state: JournalState, onSelected: (programs: ProgramState[]) => void): void {
     const programs = [...state.programs.values()]
     const sources = new Set([...state.adoptedFrom.values()])
     if (sources.size === 0) {
-      onVerified(programs)
+      onSelected(programs)
       return
     }
-    const states = new Map<string, JournalState>()
+    const sourceStates = new Map<string, JournalState>()
     for (const source of sources) {
-      this._reader.readJournal(source, read => {
-        if (read !== undefined) states.set(source, read)
+      this._reader.readJournal(source, sourceState => {
+        if (sourceState !== undefined) sourceStates.set(source, sourceState)
         sources.delete(source)
         if (sources.size > 0) return
-        const isComplete = [...state.adoptedFrom.values()].every(name => states.has(name))
-        if (!isComplete) this._giveUp(attempt)
-        else onVerified(programs.filter(program => isHeldBy(attempt.writer, state, states, program.programId)))
+        const isComplete = [...state.adoptedFrom.values()].every(name => sourceStates.has(name))
+        if (!isComplete) this._postponeTakeover(attempt)
+        else onSelected(programs.filter(program => isOwnedBy(attempt.writer, state, sourceStates, program.programId)))
       })
     }
   }
 
-  private _adopt (attempt: Attempt, state: JournalState, own: IJournalEpoch, wanted: ProgramState[], isRecorded: boolean): void {
-    if (!isRecorded || own.isFenced) {
-      this._giveUp(attempt)
+  /** Appends the transfer record to the fenced journal; the first such record for a program counts. */
+  private _recordTransfer (attempt: TakeoverAttempt, state: JournalState, ownEpoch: IJournalEpoch, transferable: ProgramState[], isRecorded: boolean): void {
+    if (!isRecorded || ownEpoch.isFenced) {
+      this._postponeTakeover(attempt)
       return
     }
-    const programIds = wanted.map(program => program.programId)
-    const record: OwnershipTransferred = { id: this._nextRecordId(), type: 'adopted', programIds, to: own.writer }
+    const programIds = transferable.map(program => program.programId)
+    const record: OwnershipTransferred = { id: this._nextRecordId(), type: 'adopted', programIds, to: ownEpoch.writer }
     this._log.append(attempt.journal, [record], () => {
-      this._reader.readJournal(attempt.journal, read => {
-        if (read === undefined) this._giveUp(attempt)
-        else this._settle(attempt, read, own, wanted)
+      this._reader.readJournal(attempt.journal, newState => {
+        if (newState === undefined) this._postponeTakeover(attempt)
+        else this._addWonPrograms(attempt, newState, ownEpoch, transferable)
       }, state)
     })
   }
 
-  /** The journal now says who won each program. */
-  private _settle (attempt: Attempt, state: JournalState, own: IJournalEpoch, wanted: ProgramState[]): void {
-    const isDecided = wanted.every(program => state.adoptions.has(program.programId))
-    if (!isDecided || own.isFenced) {
-      this._giveUp(attempt)
+  /** Adds the programs that the journal assigns to this node; another node may have recorded its transfer first. */
+  private _addWonPrograms (attempt: TakeoverAttempt, state: JournalState, ownEpoch: IJournalEpoch, transferable: ProgramState[]): void {
+    const isDecided = transferable.every(program => state.adoptions.has(program.programId))
+    if (!isDecided || ownEpoch.isFenced) {
+      this._postponeTakeover(attempt)
       return
     }
-    const won = wanted.filter(program => isSameNode(state.adoptions.get(program.programId) as NodeRef, own.writer))
-    for (const program of won) this._addProgram(program, own, attempt.journal)
-    this._markFinished(attempt, won.length)
+    const wonPrograms = transferable.filter(program => isSameNode(state.adoptions.get(program.programId) as NodeRef, ownEpoch.writer))
+    for (const program of wonPrograms) this._addLiveProgram(program, ownEpoch, attempt.journal)
+    this._markFinished(attempt, wonPrograms.length)
   }
 
-  private _addProgram (state: ProgramState, own: IJournalEpoch, formerJournal: string): void {
+  private _addLiveProgram (state: ProgramState, ownEpoch: IJournalEpoch, formerJournal: string): void {
     if (this._programs.get(state.programId) !== undefined) return
-    const program = createLiveProgram(state, own, this._clock.nowMs())
+    const program = createLiveProgram(state, ownEpoch, this._clock.nowMs())
     program.formerJournal = formerJournal
     program.isInherited = true
     this._programs.add(program)
   }
 
-  private _markFinished (attempt: Attempt, programCount: number): void {
+  /** Publishes the takeover on the control stream; after a failed publication the next check repeats the takeover. */
+  private _markFinished (attempt: TakeoverAttempt, programCount: number): void {
     this._logger.info('takeoverFinished', { journal: attempt.journal, programs: programCount })
-    this._finished.add(attempt.journal)
+    this._finishedJournals.add(attempt.journal)
     const isListed = this._configuration.state.journals.some(known => known.journal === attempt.journal)
     if (isListed) {
       const record = { type: 'journalAdopted', journal: attempt.journal, by: this._selfRef(), programCount, atMs: this._clock.nowMs() } as const
       this._configuration.publish(record, PUBLISH_TIMEOUT_MS, outcome => {
-        if (outcome.type !== 'folded') this._timers.after(RETRY_MS + this._random.nextInt(RETRY_MS), () => this._finished.delete(attempt.journal))
+        if (outcome.type !== 'folded') this._timers.after(PUBLISH_RETRY_MS + this._random.nextInt(PUBLISH_RETRY_MS), () => this._finishedJournals.delete(attempt.journal))
       })
     }
-    this._finish(attempt, true)
+    this._endAttempt(attempt, true)
   }
 
   private _selfRef (): NodeRef {
@@ -285,12 +299,12 @@
   }
 
   private _nextRecordId (): string {
-    return `${this._identity.node}-${this._identity.incarnation}-t${++this._lastRecord}`
+    return `${this._identity.node}-${this._identity.incarnation}-t${++this._lastRecordNumber}`
   }
 }
 
-/** Copies of the programs in which what was set aside for steps in flight counts as spent. */
-function settlePrograms (programs: ProgramState[]): ProgramState[] {
+/** Copies of the programs in which the tokens reserved for steps in flight count as spent. */
+function countReservedAsSpent (programs: ProgramState[]): ProgramState[] {
   const copies = new Map(programs.map(program => [program.programId, cloneProgram(program)]))
   for (const program of copies.values()) {
     const root = copies.get(program.root) ?? program
@@ -300,10 +314,10 @@
   return [...copies.values()]
 }
 
-/** True when the journals say that `writer` was the home of a program that its own journal holds. */
-function isHeldBy (writer: NodeRef, state: JournalState, sources: Map<string, JournalState>, programId: string): boolean {
+/** True when the journals name `writer` as the owner of a program that its own journal holds. */
+function isOwnedBy (writer: NodeRef, state: JournalState, sourceStates: Map<string, JournalState>, programId: string): boolean {
   const source = state.adoptedFrom.get(programId)
   if (source === undefined) return true
-  const adopter = sources.get(source)?.adoptions.get(programId)
-  return adopter !== undefined && isSameNode(adopter, writer)
+  const newOwner = sourceStates.get(source)?.adoptions.get(programId)
+  return newOwner !== undefined && isSameNode(newOwner, writer)
 }
