--- a/packages/core/src/common/programs/budget.ts
+++ b/packages/core/src/common/programs/budget.ts
@@ -1,4 +1,4 @@
-/** Reserves and settles what a tree of programs may use. */
+/** Reserves and records what a tree of programs uses of its shared budget. */
 import { type Either, Left, Right } from 'purify-ts'
 import type { StepCall } from '../kernel/callerMessages.js'
 import type { LiveProgram } from './liveProgram.js'
@@ -6,48 +6,48 @@
 /** Characters that count as one token when only text is known. */
 const CHARACTERS_PER_TOKEN = 4
 
-/** What a step may use; `maxTokens` is the most that an engine may generate. */
+/** The share of the budget reserved for a running step; `maxTokens` is the most that an engine may generate. */
 export interface Reservation {
   promptTokens: number
   maxTokens: number
   toolCalls: number
 }
 
-/** Why a step does not fit. */
+/** The limit of the budget that a step would exceed. */
 export interface BudgetProblem {
   field: 'tokens' | 'steps' | 'toolCalls' | 'wallTimeMs'
   limit: number
 }
 
-/** Tokens of a text, estimated from its length. */
+/** Estimates the tokens of a text from its length. */
 export function estimateTokens (text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN)
 }
 
-/** Tokens that the caller adds to the history with a call. */
+/** Estimated tokens that a call adds to the history; 0 for a service call. */
 export function promptTokensOf (call: StepCall): number {
   if (call.type !== 'model') return 0
   return call.messages.reduce((sum, message) => sum + estimateTokens(message.content), 0)
 }
 
-/** Tokens of the tree's budget that are neither used nor set aside by running steps. */
+/** Tokens of the tree's budget that are neither used nor reserved by running steps. */
 export function tokensLeft (root: LiveProgram): number {
   return root.state.budget.tokens - root.state.spent.tokens - root.outstanding.tokens
 }
 
 /**
- * Checks a step against the budget of its tree and sets aside what it may use.
+ * Checks a step against the budget of its tree and reserves what it may use.
  *
- * @param openClaims steps of the tree that were sent and whose fate is not known; each will count as a step and a call.
- * @returns the reservation with `maxTokens` lowered to what is left, or the limit that the step would break.
+ * @param openIntents steps of the tree that were sent and whose outcome is not known; each counts as a step and a tool call.
+ * @returns the reservation with `maxTokens` lowered to what is left, or the limit that the step would exceed.
  */
-export function reserveBudget (root: LiveProgram, call: StepCall, nowMs: number, openClaims = 0): Either<BudgetProblem, Reservation> {
+export function reserveBudget (root: LiveProgram, call: StepCall, nowMs: number, openIntents = 0): Either<BudgetProblem, Reservation> {
   const { budget, spent, openedAtMs } = root.state
   const { outstanding } = root
   if (nowMs - openedAtMs >= budget.wallTimeMs) return Left({ field: 'wallTimeMs', limit: budget.wallTimeMs })
-  if (spent.steps + outstanding.steps + openClaims >= budget.steps) return Left({ field: 'steps', limit: budget.steps })
+  if (spent.steps + outstanding.steps + openIntents >= budget.steps) return Left({ field: 'steps', limit: budget.steps })
   if (call.type === 'service') {
-    if (spent.toolCalls + outstanding.toolCalls + openClaims >= budget.toolCalls) return Left({ field: 'toolCalls', limit: budget.toolCalls })
+    if (spent.toolCalls + outstanding.toolCalls + openIntents >= budget.toolCalls) return Left({ field: 'toolCalls', limit: budget.toolCalls })
     return Right(addReservation(root, { promptTokens: 0, maxTokens: 0, toolCalls: 1 }))
   }
   const promptTokens = promptTokensOf(call)
@@ -63,14 +63,14 @@
   return reservation
 }
 
-/** Gives back what a step had set aside. */
+/** Releases the reservation of a step that has ended. */
 export function releaseReservation (root: LiveProgram, reservation: Reservation): void {
   root.outstanding.tokens -= reservation.promptTokens + reservation.maxTokens
   root.outstanding.steps--
   root.outstanding.toolCalls -= reservation.toolCalls
 }
 
-/** Counts a finished step. */
+/** Adds a finished step to what the tree has used. */
 export function recordSpending (root: LiveProgram, call: StepCall, spentTokens: number): void {
   root.state.spent.steps++
   root.state.spent.tokens += spentTokens
--- a/packages/core/src/common/programs/index.ts
+++ b/packages/core/src/common/programs/index.ts
@@ -1,3 +1,4 @@
+/** Public names of the handling of programs. */
 export * from './budget.js'
 export * from './liveProgram.js'
 export * from './programRouting.js'
--- a/packages/core/src/common/programs/liveProgram.ts
+++ b/packages/core/src/common/programs/liveProgram.ts
@@ -1,24 +1,26 @@
-/** A program at its home: the recorded state and what goes on right now. */
+/** A program at its owner: the recorded state and the work in progress. */
 import type { StepRequest } from '../kernel/callerMessages.js'
 import type { CallerExchange } from '../kernel/callerPort.js'
 import type { IJournalEpoch } from '../journal/journal.js'
 import type { ProgramState, Spending } from './programState.js'
 
-/** A step that is being run. */
+/** A step in progress. */
 export interface RunningStep {
   step: number
   key: string
   callDigest: string
   startedAtMs: number
-  /** Callers that wait for the answer: the first one and those that sent the step again. */
+  /** Callers that wait for the answer, by request id: the first one and those that sent the step again. */
   listeners: Map<string, { isStreamed: boolean }>
   /** Text streamed so far, for callers that join late. */
   text: string
+  /** Tokens of `text`. */
   tokens: number
-  /** Stops the work; absent once it cannot be stopped any more. */
+  /** Stops the work; undefined when it cannot be stopped any more. */
   cancel?: (reason: 'callerGone' | 'cancelled' | 'closed') => void
 }
 
+/** A program in the table of its owner. Only `state` is recorded; the other fields are lost when the node ends. */
 export interface LiveProgram {
   state: ProgramState
   /** The journal that records the program. */
@@ -26,25 +28,27 @@
   running?: RunningStep
   /** Steps that arrived before their turn, by number. */
   waiting: Map<number, CallerExchange<StepRequest>>
-  /** What running steps of the tree may still use; kept at the root. */
+  /** What is reserved for running steps of the tree; kept at the root. */
   outstanding: Spending
-  /** Tokens used by cancelled steps, to be recorded with the next turn. */
+  /** Tokens that steps without a recorded result may have used; added to the next turn's record. */
   unrecordedTokens: number
+  /** Time of the last step request or end of a step. */
   lastActiveMs: number
-  /** Time of the last record that holds the whole state. */
+  /** Time of the last snapshot record, which holds the whole state. */
   snapshotAtMs: number
+  /** Time at which this node closed the program or received it closed; undefined while it is open. */
   closedAtMs?: number
-  /** Set while the program is handed to another node: no step may start. */
+  /** True during a handover to another node: no step may start. */
   isMoving: boolean
-  /** Step that was sent to a back end here and got no recorded result. */
+  /** Number of the step that this node sent to a back end and that has no recorded result. */
   sentStep?: number
-  /** True when another node was the home before, which may have sent a step that is not recorded. */
+  /** True when another node was the owner before; it may have sent a step that is not recorded. */
   isInherited: boolean
-  /** Journal of a former home that may hold a late result of the open claim. */
+  /** Journal of the former owner, which may hold a late result of the open intent. */
   formerJournal?: string
 }
 
-/** Wraps recorded state that has just been opened or adopted at this node. */
+/** Creates the live program for a recorded state that this node has opened or taken over. */
 export function createLiveProgram (state: ProgramState, journal: IJournalEpoch, nowMs: number): LiveProgram {
   return {
     state,
--- a/packages/core/src/common/programs/modelSteps.ts
+++ b/packages/core/src/common/programs/modelSteps.ts
@@ -16,7 +16,7 @@
 import { fingerprintOf, type StartedStep } from './startedStep.js'
 import { StepEnding } from './stepEnding.js'
 
-/** The cache is kept for this many expected pauses. */
+/** Workers retain a program's cache for this many expected pauses between its steps. */
 const RETAINED_PAUSES = 4
 
 @injectable()
@@ -31,7 +31,7 @@
     @inject(StepEnding) private readonly _ending: StepEnding
   ) {}
 
-  /** Starts a call whose budget is reserved. */
+  /** Starts a call whose budget is reserved; records the token reservation in the journal before it dispatches the call. */
   start (started: StartedStep, call: ModelCall): void {
     const { program, request, running, reservation } = started
     const kind = this._configuration.findKind(program.state.kind)
@@ -51,8 +51,8 @@
     const { program, running, reservation, deadlineMs } = started
     const { state } = program
     const messages = toConversation(state.turns, call.messages)
-    let chargedBefore = 0
-    const job = this._models.run({
+    let earlierAttemptTokens = 0
+    const modelRun = this._models.run({
       programId: state.programId,
       customer: state.customer,
       kind: state.kind,
@@ -70,17 +70,17 @@
       retainMs: this._workerCoordinator.expectedPauseMs(state.kind) * RETAINED_PAUSES,
       onChunk: (text, tokens) => this._handleChunk(running, text, tokens),
       onWillRetry: (maxTokens, proceed) => {
-        chargedBefore += reservation.maxTokens
-        const isAffordable = tokensLeft(started.root) >= chargedBefore
-        if (isAffordable) this._recordReservation(started, reservation.promptTokens + chargedBefore + maxTokens, proceed)
+        earlierAttemptTokens += reservation.maxTokens
+        const isAffordable = tokensLeft(started.root) >= earlierAttemptTokens
+        if (isAffordable) this._recordReservation(started, reservation.promptTokens + earlierAttemptTokens + maxTokens, proceed)
         else this._ending.end(started, this._ending.unknown(started, Reason.BudgetExceeded, 'the budget does not cover another attempt'))
       },
       onDone: outcome => this._finishModel(started, model, outcome)
     })
     running.cancel = reason => {
-      job.dispose()
+      modelRun.dispose()
       program.sentStep = request.step
-      program.unrecordedTokens += reservation.promptTokens + reservation.maxTokens + chargedBefore
+      program.unrecordedTokens += reservation.promptTokens + reservation.maxTokens + earlierAttemptTokens
       this._ending.end(started, this._ending.unknown(started, Reason.Cancelled, `the step was stopped: ${reason}`))
     }
   }
@@ -111,30 +111,34 @@
     }
   }
 
-  /** Makes sure that the log covers what the step may use, so that a takeover never undercounts. */
+  /**
+   * Records the tokens that the step may use, because a takeover counts recorded reservations as spent. Proceeds without the
+   * record when the log does not accept it within the wait; a takeover may then count too little.
+   */
   private _recordReservation (started: StartedStep, neededTokens: number, proceed: () => void): void {
     const { program } = started
-    const needed = neededTokens + program.unrecordedTokens
-    if (program.state.reservedTokens >= needed) {
+    const requiredTokens = neededTokens + program.unrecordedTokens
+    if (program.state.reservedTokens >= requiredTokens) {
       proceed()
       return
     }
     appendWithin({
       journal: program.journal,
       timers: this._timers,
-      record: { type: 'tokensReserved', programId: program.state.programId, tokens: needed },
+      record: { type: 'tokensReserved', programId: program.state.programId, tokens: requiredTokens },
       waitMs: this._settings.turnDurabilityWaitMs,
       onSettled: durability => {
         if (durability === 'fenced') {
-          this._ending.end(started, this._ending.unknown(started, Reason.OwnerMoved, 'the program has a new home'))
+          this._ending.end(started, this._ending.unknown(started, Reason.OwnerMoved, 'the program has a new owner'))
           return
         }
-        if (durability === 'durable') program.state.reservedTokens = needed
+        if (durability === 'durable') program.state.reservedTokens = requiredTokens
         proceed()
       }
     })
   }
 
+  /** Tokens of the recorded history, as the engine counted them in the last model turn. */
   private _historyTokens (turns: RecordedTurn[]): number {
     const last = turns.findLast(turn => turn.result.type === 'model')?.result
     return last?.type === 'model' ? last.promptTokens + last.completionTokens : 0
--- a/packages/core/src/common/programs/programClosing.ts
+++ b/packages/core/src/common/programs/programClosing.ts
@@ -1,13 +1,13 @@
-/** Ends programs: by request, by timeout or by budget. */
+/** Closes programs: on request, when they are abandoned or when their wall time is used up. */
 import { inject, injectable } from 'tsyringe'
 import { IClock } from '../kernel/clock.js'
 import { ILogger } from '../kernel/effectQueue.js'
 import type { LiveProgram } from './liveProgram.js'
 import { IProgramTable } from './programTable.js'
 
-/** Closes programs with everything that belongs to them. */
+/** Closes programs together with their sub-agents. */
 export interface IProgramClosing {
-  /** Closes a program and its sub-agents; running model calls are cancelled. */
+  /** Closes the program and its sub-agents in this node's table, as far as they are open, and cancels calls that can be stopped. */
   close (program: LiveProgram, reason: string): void
 }
 export const IProgramClosing = Symbol('IProgramClosing')
@@ -21,11 +21,11 @@
   ) {}
 
   close (program: LiveProgram, reason: string): void {
-    const descendants = this._programs.treeOf(program.state.root).filter(child => this._isBelow(child, program))
+    const descendants = this._programs.treeOf(program.state.root).filter(child => this._isDescendant(child, program))
     for (const member of [program, ...descendants]) this._closeOne(member, reason)
   }
 
-  private _isBelow (child: LiveProgram, ancestor: LiveProgram): boolean {
+  private _isDescendant (child: LiveProgram, ancestor: LiveProgram): boolean {
     let parentId = child.state.parent
     while (parentId !== undefined) {
       if (parentId === ancestor.state.programId) return true
--- a/packages/core/src/common/programs/programOpening.ts
+++ b/packages/core/src/common/programs/programOpening.ts
@@ -83,8 +83,8 @@
 
   /** Replies with the existing program when the same open request was handled here before; otherwise returns false. */
   private _answerIfAlreadyOpened (exchange: OpenExchange): boolean {
-    const programId = this._programIdByOpenKey.get(openKeyOf(exchange.request))
-    const program = programId === undefined ? undefined : this._programs.get(programId)
+    const openedProgramId = this._programIdByOpenKey.get(openKeyOf(exchange.request))
+    const program = openedProgramId === undefined ? undefined : this._programs.get(openedProgramId)
     if (program === undefined) return false
     this._answer(exchange, program, true)
     return true
@@ -126,7 +126,7 @@
     this._placement.collectEstimates(query, estimates => this._openAtFirstEstimate(exchange, kind, estimates))
   }
 
-  /** Opens the program at the coordinator of the best worker; estimates are best first, and an unreachable coordinator's one is skipped. */
+  /** Opens the program at the coordinator of the first estimate's worker; goes on to the next estimate when it cannot be reached. */
   private _openAtFirstEstimate (exchange: OpenExchange, kind: WorkKind, estimates: PlacementEstimate[]): void {
     const best = estimates.at(0)
     if (best === undefined) {
@@ -197,7 +197,7 @@
       record: { type: 'programSnapshot', program: copyOfNewState(state) },
       waitMs: this._settings.turnDurabilityWaitMs,
       onSettled: durability => {
-        if (durability === 'fenced') this._refuse(exchange, Reason.OwnerMoved, 'another node took over the programs of this node', NOT_READY_RETRY_MS)
+        if (durability === 'fenced') this._refuse(exchange, Reason.OwnerMoved, 'the journal of this node was fenced', NOT_READY_RETRY_MS)
         else this._answer(exchange, program, durability === 'durable')
       }
     })
--- a/packages/core/src/common/programs/programRebuilder.ts
+++ b/packages/core/src/common/programs/programRebuilder.ts
@@ -1,4 +1,4 @@
-/** Rebuilds programs that the log does not know from the caller's copy of their history. */
+/** Rebuilds programs of which the log holds no record from the caller's copy of their history. */
 import { inject, injectable } from 'tsyringe'
 import type { StepCall, Turn } from '../kernel/callerMessages.js'
 import { IClock } from '../kernel/clock.js'
@@ -12,16 +12,17 @@
 import { IProgramTable } from './programTable.js'
 import { verifyHistory } from './stepDecision.js'
 
-/** What a caller knows of its program. */
+/** A caller's copy of its program. */
 export interface CallerCopy {
   programId: string
   customer: string
+  /** Name of the work kind; without a known one the program cannot be rebuilt. */
   kind: string | undefined
   history: Turn[]
   /** Completed steps that the caller counts; the history must have as many. */
   steps: number
   historyDigest: string
-  /** Tokens that a step in flight at the lost home may have used. */
+  /** Tokens that a step in flight at the unavailable owner may have used; counted as spent. */
   possiblyUsedTokens: number
 }
 
@@ -35,12 +36,16 @@
     @inject(ILogger) private readonly _logger: ILogger
   ) {}
 
-  /** Makes this node the program's home; undefined when the copy is incomplete or its digests do not match. */
+  /**
+   * Makes this node the program's owner and records a snapshot.
+   *
+   * @returns undefined when the copy is incomplete, its digests do not match, or its work kind is not configured.
+   */
   rebuild (copy: CallerCopy): LiveProgram | undefined {
     const state = this._createState(copy)
     if (state === undefined || copy.history.length !== copy.steps) return undefined
-    const isFirst = copy.history.length === 0
-    if (isFirst && copy.historyDigest !== historyDigestOf(state)) return undefined
+    const isFirstStep = copy.history.length === 0
+    if (isFirstStep && copy.historyDigest !== historyDigestOf(state)) return undefined
     const turns = verifyHistory(state, copy.history, copy.historyDigest)
     if (turns === undefined) return undefined
     state.turns = turns
--- a/packages/core/src/common/programs/programRequests.ts
+++ b/packages/core/src/common/programs/programRequests.ts
@@ -1,4 +1,4 @@
-/** Takes requests about existing programs: steps, cancelling, closing, state. */
+/** Handles requests about existing programs: steps, cancelling, closing and state. */
 import { inject, injectable } from 'tsyringe'
 import { ICallers, type CallerExchange } from '../kernel/callerPort.js'
 import { type ProgramView, Reason, type StepRequest } from '../kernel/callerMessages.js'
@@ -29,6 +29,7 @@
     @inject(ProgramRebuilder) private readonly _rebuilder: ProgramRebuilder
   ) {}
 
+  /** Registers the request handlers. */
   start (): void {
     this._programs.onDidRemove(program => {
       for (const exchange of program.waiting.values()) this._callers.dispatchAgain(exchange)
@@ -73,9 +74,10 @@
     }
     this._routing.route(exchange, exchange.request.programId,
       program => this._steps.handle(exchange, program),
-      loss => this._handleNotFound(exchange, loss))
+      cause => this._handleNotFound(exchange, cause))
   }
 
+  /** Runs `onProgram` at the program's owner; refuses when the program is not found or belongs to another customer. */
   private _withProgram (exchange: CallerExchange, request: { programId: string, customer: string }, onProgram: (program: LiveProgram) => void): void {
     const refuse = () => this._callers.reply(exchange.requestId, { type: 'notRun', reason: Reason.NotFound, detail: 'no such program' })
     this._routing.route(exchange, request.programId, program => {
@@ -84,16 +86,16 @@
     }, refuse)
   }
 
-  /** A program that the log does not know is rebuilt from the caller's copy, if the caller has one. */
-  private _handleNotFound (exchange: CallerExchange<StepRequest>, loss: NotFoundCause): void {
+  /** Rebuilds a program without a record in the log from the caller's copy and handles the step; requests the copy if it is missing. */
+  private _handleNotFound (exchange: CallerExchange<StepRequest>, cause: NotFoundCause): void {
     const { request } = exchange
-    if (loss === 'expired') {
-      this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.Expired, detail: 'the program ended, or never was', programId: request.programId, step: request.step })
+    if (cause === 'expired') {
+      this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.Expired, detail: 'the program ended or never existed', programId: request.programId, step: request.step })
       return
     }
     const mayHaveRun = request.isResend && request.call.type === 'service' && !request.call.isRepeatable
     if (mayHaveRun) {
-      this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.AnswerLost, detail: 'the home of the program is gone with what it knew of the step', programId: request.programId, step: request.step })
+      this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.AnswerLost, detail: 'the owner of the program is unavailable and its record of the step is lost', programId: request.programId, step: request.step })
       return
     }
     const program = this._rebuilder.rebuild({
--- a/packages/core/src/common/programs/programRetention.ts
+++ b/packages/core/src/common/programs/programRetention.ts
@@ -1,4 +1,4 @@
-/** Ends abandoned programs, forgets closed ones and publishes idle ones again before their records expire. */
+/** Closes abandoned programs, removes closed ones and records idle ones again before their records expire from the log. */
 import { inject, injectable } from 'tsyringe'
 import { IClock } from '../kernel/clock.js'
 import { CoreSettings } from '../kernel/settings.js'
@@ -11,9 +11,9 @@
 
 const SWEEP_PERIOD_MS = 5_000
 const DEFAULT_IDLE_TIMEOUT_MS = 600_000
-/** A program is recorded whole again after this share of the log's retention. */
+/** A new snapshot of a program is recorded after this share of the log's retention time. */
 const SNAPSHOT_AGE_SHARE = 0.4
-/** Programs recorded again in one sweep, so that the log is not flooded. */
+/** Most snapshots recorded in one sweep, to limit the load on the log. */
 const SNAPSHOTS_PER_SWEEP = 50
 
 @injectable()
@@ -27,6 +27,7 @@
     @inject(IProgramClosing) private readonly _closing: IProgramClosing
   ) {}
 
+  /** Starts the periodic sweep. */
   start (): void {
     this._timers.every(SWEEP_PERIOD_MS, () => this._sweep())
   }
@@ -52,12 +53,13 @@
   private _closeIfTimedOut (program: LiveProgram, nowMs: number): void {
     const idleTimeoutMs = this._configuration.document?.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS
     const { openedAtMs, budget } = this._programs.rootOf(program).state
-    const isBusy = program.running !== undefined || this._isTreeBusy(program)
+    const isBusy = program.running !== undefined || this._isRestOfTreeBusy(program)
     if (nowMs - openedAtMs > budget.wallTimeMs) this._closing.close(program, 'wall time is used up')
     else if (!isBusy && nowMs - program.lastActiveMs > idleTimeoutMs) this._closing.close(program, 'abandoned')
   }
 
-  private _isTreeBusy (program: LiveProgram): boolean {
+  /** True when another program of the tree runs a step or was active within the idle timeout. */
+  private _isRestOfTreeBusy (program: LiveProgram): boolean {
     const nowMs = this._clock.nowMs()
     const idleTimeoutMs = this._configuration.document?.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS
     return this._programs.treeOf(program.state.root).some(member => member !== program && member.closedAtMs === undefined &&
--- a/packages/core/src/common/programs/programRouting.ts
+++ b/packages/core/src/common/programs/programRouting.ts
@@ -11,12 +11,15 @@
 import { ITakeover } from './takeover.js'
 
 const RETRY_AFTER_MS = 500
-/** A request with this many hops is located through the log, which cannot disagree as the nodes' views of the cluster can; a hint still goes first. */
+/** From this many hops on a program is located through the log, because nodes may see the cluster differently; hints are still followed. */
 const MAX_TRUSTED_HOPS = 3
 const MAX_HOPS = 6
 const MAX_OWNER_HINTS = 20_000
 
-/** Why no owner is found. `expired`: the program ended or never existed. `noTrace`: its owner is unavailable and the log holds no record of it. */
+/**
+ * Why no owner is found. `expired`: the program ended or never existed. `noTrace`: its owner is unavailable and the log holds no
+ * record of it.
+ */
 export type NotFoundCause = 'expired' | 'noTrace'
 
 /** Decides whether a request is handled by this node, by another one or by none. */
--- a/packages/core/src/common/programs/programState.ts
+++ b/packages/core/src/common/programs/programState.ts
@@ -9,44 +9,50 @@
   toolCalls: number
 }
 
-/** A claim for which no result is known. */
+/** An intent record without a known result: the call of a non-repeatable step that may have been sent. */
 export interface OpenIntent {
   step: number
   key: string
+  /** Time at which the intent was recorded, in ms; its withdrawal names the same time. */
   attempt: number
   call: StepCall
   callDigest: string
 }
 
+/** A completed step with the digests that chain it to the history before it. */
 export interface RecordedTurn extends Turn {
   callDigest: string
   /** Digest of the history up to and including this turn. */
   historyDigest: string
 }
 
+/** The recorded state of a program. */
 export interface ProgramState {
   programId: string
   customer: string
   kind: string
   rank: string
+  /** Idempotency key of the request that opened the program; empty after a rebuild from the caller's copy. */
   openKey: string
   /** The program that opened this one; absent for the root of a tree. */
   parent?: string
   /** The program whose budget this one uses; its own id for a root. */
   root: string
+  /** Levels below the root; 0 for a root. */
   depth: number
   budget: Budget
   openedAtMs: number
   /** Time at which the program should be complete. */
   dueAtMs: number
   turns: RecordedTurn[]
-  /** Use of the tree's budget; kept at the root only. */
+  /** What the tree has used of its budget; kept at the root only. */
   spent: Spending
   /** Tokens that may have been used by a step that is not recorded. */
   reservedTokens: number
   /** Worker that holds the history in its cache, by model. */
   workers: Array<{ model: string, worker: string }>
   openClaim?: OpenIntent
+  /** Why the program was closed; undefined while it is open. */
   closedReason?: string
 }
 
@@ -55,12 +61,12 @@
   return program.turns.at(-1)?.historyDigest ?? initialDigest(program.programId)
 }
 
-/** The worker that probably holds the program's history in its cache. */
+/** The worker that probably holds the program's history in its cache; undefined when no worker is recorded. */
 export function cachedWorkerOf (program: ProgramState, model: string): string | undefined {
   return program.workers.find(entry => entry.model === model)?.worker
 }
 
-/** Notes which worker has served the program last. */
+/** Records which worker served the program's last call of a model. */
 export function setCachedWorker (program: ProgramState, model: string, worker: string): void {
   program.workers = [...program.workers.filter(entry => entry.model !== model), { model, worker }]
 }
@@ -70,7 +76,7 @@
   return program.turns.length + 1
 }
 
-/** Appends a completed step to the history. */
+/** Appends a completed step to the history and clears the open intent. */
 export function addTurn (program: ProgramState, turn: { step: number, key: string, call: StepCall, callDigest: string, result: StepResult }): RecordedTurn {
   const recorded: RecordedTurn = {
     ...turn,
@@ -81,7 +87,7 @@
   return recorded
 }
 
-/** Rebuilds recorded turns from a caller's copy; their digests prove or disprove it. */
+/** Computes the digests of a caller's copy of the turns; the caller of this function compares them with known ones. */
 export function rebuildTurns (programId: string, turns: Turn[]): RecordedTurn[] {
   let digest = initialDigest(programId)
   return turns.map(turn => {
@@ -91,19 +97,19 @@
   })
 }
 
-/** Where a program was opened, read from its id. */
+/** The node run that opened a program, and the program's number there; the parts of its id. */
 export interface ProgramOrigin {
   node: string
   incarnation: string
   sequence: string
 }
 
-/** Makes the id of a program; it names the node and run that opened it. */
+/** Formats the id of a program, which names the node run that opened it. */
 export function toProgramId (origin: ProgramOrigin): string {
   return `${origin.node}.${origin.incarnation}.${origin.sequence}`
 }
 
-/** Reads a program id; undefined when it is none. */
+/** Parses a program id; undefined when the text is not one. */
 export function parseProgramId (programId: string): ProgramOrigin | undefined {
   const parts = programId.split('.')
   if (parts.length !== 3 || parts.some(part => part === '')) return undefined
--- a/packages/core/src/common/programs/programTable.ts
+++ b/packages/core/src/common/programs/programTable.ts
@@ -1,26 +1,28 @@
-/** The programs whose home is this node. */
+/** The table of the programs that this node owns. */
 import { inject, injectable } from 'tsyringe'
 import { Emitter, type Event } from '../kernel/emitter.js'
 import type { LiveProgram } from './liveProgram.js'
 import { IJournal } from '../journal/journal.js'
 
-/** Holds every program that this node may run. */
+/** Holds every program that this node owns, open or recently closed. */
 export interface IProgramTable {
-  /** Fires when a program ends here, by closing, by moving away or by a fence. */
+  /** Fires when a program leaves the table: some time after its close, after a handover, or when its journal is fenced. */
   readonly onDidRemove: Event<LiveProgram>
   /** Fires when a program is closed; it stays in the table for a while. */
   readonly onDidClose: Event<LiveProgram>
+  /** Fires `onDidClose`; called once the program is marked as closed. */
   recordClosed (program: LiveProgram): void
+  /** Undefined when this node does not own the program. */
   get (programId: string): LiveProgram | undefined
-  /** The program that holds the budget of `program`'s tree. */
+  /** The program that holds the budget of `program`'s tree; `program` itself when the root is not in the table. */
   rootOf (program: LiveProgram): LiveProgram
   add (program: LiveProgram): void
-  /** Forgets a program; its open work must have been ended before. */
+  /** Removes a program without ending its running step. */
   remove (programId: string): void
   all (): Iterable<LiveProgram>
-  /** Programs of a tree, the root included. */
+  /** Programs of a tree that are in the table, the root included. */
   treeOf (root: string): LiveProgram[]
-  /** Open programs of a customer. */
+  /** Number of a customer's open programs at this node. */
   countOpen (customer: string): number
   readonly size: number
 }
@@ -63,18 +65,18 @@
   add (program: LiveProgram): void {
     const { programId, root } = program.state
     this._programs.set(programId, program)
-    const tree = this._programIdsByRoot.get(root) ?? new Set()
-    tree.add(programId)
-    this._programIdsByRoot.set(root, tree)
+    const treeIds = this._programIdsByRoot.get(root) ?? new Set()
+    treeIds.add(programId)
+    this._programIdsByRoot.set(root, treeIds)
   }
 
   remove (programId: string): void {
     const program = this._programs.get(programId)
     if (program === undefined) return
     this._programs.delete(programId)
-    const tree = this._programIdsByRoot.get(program.state.root)
-    tree?.delete(programId)
-    if (tree?.size === 0) this._programIdsByRoot.delete(program.state.root)
+    const treeIds = this._programIdsByRoot.get(program.state.root)
+    treeIds?.delete(programId)
+    if (treeIds?.size === 0) this._programIdsByRoot.delete(program.state.root)
     this._didRemove.fire(program)
   }
 
--- a/packages/core/src/common/programs/programs.contribution.ts
+++ b/packages/core/src/common/programs/programs.contribution.ts
@@ -1,3 +1,4 @@
+/** Registers the handling of programs with the kernel. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { IntentResolver } from './intentResolver.js'
 import { IProgramClosing, ProgramClosing } from './programClosing.js'
--- a/packages/core/src/common/programs/serviceSteps.ts
+++ b/packages/core/src/common/programs/serviceSteps.ts
@@ -1,4 +1,4 @@
-/** Runs the service calls of programs; those that must not be repeated are claimed in the journal first. */
+/** Runs the service calls of programs; for a non-repeatable call an intent is recorded in the journal first. */
 import { inject, injectable } from 'tsyringe'
 import { Reason, type ServiceCall } from '../kernel/callerMessages.js'
 import { IClock } from '../kernel/clock.js'
@@ -21,26 +21,26 @@
     @inject(StepEnding) private readonly _ending: StepEnding
   ) {}
 
-  /** Starts a call whose budget is reserved. */
+  /** Starts a call whose budget is reserved; a non-repeatable one is sent after its intent record has landed. */
   start (started: StartedStep, call: ServiceCall): void {
     if (this._configuration.findBackend(call.service)?.type !== 'service') {
       this._ending.end(started, this._ending.notRun(started, Reason.UnknownBackend, `no service "${call.service}"`))
     } else if (call.isRepeatable) {
       this._dispatchService(started, call)
     } else {
-      this._recordIntent(started, call)
+      this._claim(started, call)
     }
   }
 
-  /** Appends a claim and sends the call only when the claim has landed with no fence before it. */
-  private _recordIntent (started: StartedStep, call: ServiceCall): void {
+  /** Appends an intent record and sends the call only when the record has landed with no fence before it. */
+  private _claim (started: StartedStep, call: ServiceCall): void {
     const { program, request, running, deadlineMs } = started
     const { programId } = program.state
     const attempt = this._clock.nowMs()
-    let isOver = false
-    const pending = program.journal.append({ type: 'stepClaimed', programId, step: request.step, key: request.key, call, callDigest: running.callDigest, attempt }, outcome => {
-      if (isOver) return
-      isOver = true
+    let isDecided = false
+    const pendingAppend = program.journal.append({ type: 'stepClaimed', programId, step: request.step, key: request.key, call, callDigest: running.callDigest, attempt }, outcome => {
+      if (isDecided) return
+      isDecided = true
       timeout.dispose()
       if (outcome.type === 'fenced') {
         this._ending.end(started, this._ending.refusalAfterMove(started))
@@ -50,17 +50,17 @@
       this._dispatchService(started, call)
     })
     const timeout = this._timers.after(deadlineMs - this._clock.nowMs(), () => {
-      if (isOver) return
-      isOver = true
-      pending.cancel()
+      if (isDecided) return
+      isDecided = true
+      pendingAppend.cancel()
       program.journal.append({ type: 'claimWithdrawn', programId, step: request.step, attempt }, () => {})
-      this._ending.end(started, this._ending.notRun(started, Reason.LogUnavailable, 'the log did not take the claim before the deadline', RETRY_AFTER_MS))
+      this._ending.end(started, this._ending.notRun(started, Reason.LogUnavailable, 'the log did not accept the intent record before the deadline', RETRY_AFTER_MS))
     })
     running.cancel = reason => {
-      if (isOver) return
-      isOver = true
+      if (isDecided) return
+      isDecided = true
       timeout.dispose()
-      pending.cancel()
+      pendingAppend.cancel()
       program.journal.append({ type: 'claimWithdrawn', programId, step: request.step, attempt }, () => {})
       this._ending.end(started, this._ending.notRun(started, Reason.Cancelled, `the step was stopped: ${reason}`))
     }
@@ -68,7 +68,7 @@
 
   private _dispatchService (started: StartedStep, call: ServiceCall): void {
     const { program, request, running, deadlineMs } = started
-    const job = this._services.run({
+    const serviceRun = this._services.run({
       programId: program.state.programId,
       customer: program.state.customer,
       call,
@@ -79,7 +79,7 @@
     })
     running.cancel = call.isRepeatable
       ? reason => {
-        job.dispose()
+        serviceRun.dispose()
         program.sentStep = request.step
         this._ending.end(started, this._ending.unknown(started, Reason.Cancelled, `the step was stopped: ${reason}`))
       }
@@ -88,11 +88,11 @@
 
   private _finishService (started: StartedStep, outcome: ServiceOutcome): void {
     const { program, request } = started
-    const isClaimed = program.state.openClaim?.step === request.step
+    const hasIntent = program.state.openClaim?.step === request.step
     if (outcome.type === 'done') {
       this._ending.complete(started, outcome.result, 0)
     } else if (outcome.type === 'notRun') {
-      if (isClaimed) this._withdrawIntent(program)
+      if (hasIntent) this._withdrawIntent(program)
       this._ending.end(started, this._ending.notRun(started, outcome.reason, outcome.detail, outcome.retryAfterMs))
     } else {
       program.sentStep = request.step
@@ -101,8 +101,8 @@
   }
 
   private _withdrawIntent (program: LiveProgram): void {
-    const claim = program.state.openClaim
+    const intent = program.state.openClaim
     program.state.openClaim = undefined
-    if (claim !== undefined) program.journal.append({ type: 'claimWithdrawn', programId: program.state.programId, step: claim.step, attempt: claim.attempt }, () => {})
+    if (intent !== undefined) program.journal.append({ type: 'claimWithdrawn', programId: program.state.programId, step: intent.step, attempt: intent.attempt }, () => {})
   }
 }
--- a/packages/core/src/common/programs/stepDecision.ts
+++ b/packages/core/src/common/programs/stepDecision.ts
@@ -21,7 +21,7 @@
   | { type: 'recordUnknown', intent: OpenIntent }
   /** The caller's copy of the history has the turns that are missing here. */
   | { type: 'resupply', missing: RecordedTurn[] }
-  /** Turns are missing here and the request has no history: ask the caller for it. `knownStep` is the last step recorded here. */
+  /** Turns are missing here and the request has no complete history: the caller has to send it. `knownStep` is the last step recorded here. */
   | { type: 'historyNeeded', knownStep: number }
   | { type: 'refuse', reason: Reason, detail: string }
 
@@ -50,10 +50,9 @@
 }
 
 /**
- * Checks a caller's copy of the history against a digest and against the turns recorded here. The digest of an empty copy is not
- * checked.
+ * Checks a caller's copy of the history against a digest and against the turns recorded here; an empty copy has no digest to check.
  *
- * @returns the turns that are missing here, or undefined when the copy is not this program's history or has fewer turns than are recorded.
+ * @returns the turns that are missing here, or undefined when the copy is not this program's history or is shorter than the recorded one.
  */
 export function verifyHistory (state: ProgramState, history: Turn[], expectedDigest: string): RecordedTurn[] | undefined {
   const rebuilt = rebuildTurns(state.programId, history)
--- a/packages/core/src/common/programs/stepEnding.ts
+++ b/packages/core/src/common/programs/stepEnding.ts
@@ -1,4 +1,4 @@
-/** Ends steps: records results, answers callers, and words what is true of a step that has no result. */
+/** Ends steps: records results, replies to callers and builds the reply for a step without a result. */
 import { inject, injectable } from 'tsyringe'
 import { ICallers, type CallerExchange } from '../kernel/callerPort.js'
 import { type CallerReply, type Done, Reason, type StepRequest, type StepResult, type Unknown } from '../kernel/callerMessages.js'
@@ -14,7 +14,7 @@
 import { mayHaveRun, type StartedStep } from './startedStep.js'
 import { digestWithUnknown } from './stepDecision.js'
 
-/** Tokens set aside in the log for the next step, at the least. */
+/** Least number of tokens that a turn's record reserves for the next step, if the budget has as many left. */
 const MIN_RESERVED_TOKENS = 4_096
 const RETRY_AFTER_MS = 500
 
@@ -33,7 +33,10 @@
     @inject(ICallers) private readonly _callers: ICallers
   ) {}
 
-  /** Records the result, then answers; the answer does not wait for a log that is down. */
+  /**
+   * Records the result, then replies; the reply says so when the log did not accept the record within the wait. After a fence
+   * only the result of an open intent counts, any other step ends as unknown.
+   */
   complete (started: StartedStep, result: StepResult, chargedTokens: number, ranOn?: { model: string, worker: string }): void {
     const { program, root, request, running, reservation } = started
     const spentTokens = chargedTokens + program.unrecordedTokens
@@ -45,9 +48,9 @@
       record: { type: 'turnCompleted', programId: program.state.programId, step: request.step, key: request.key, call: request.call, callDigest: running.callDigest, result, spentTokens, reservedTokens, ranOn },
       waitMs: this._settings.turnDurabilityWaitMs,
       onSettled: durability => {
-        const isVoid = durability === 'fenced' && program.state.openClaim === undefined
-        if (isVoid) {
-          this.end(started, this.unknown(started, Reason.OwnerMoved, 'the program has a new home', RETRY_AFTER_MS))
+        const isIgnored = durability === 'fenced' && program.state.openClaim === undefined
+        if (isIgnored) {
+          this.end(started, this.unknown(started, Reason.OwnerMoved, 'the program has a new owner', RETRY_AFTER_MS))
           return
         }
         program.unrecordedTokens = 0
@@ -59,7 +62,7 @@
     })
   }
 
-  /** Ends a step with the reply that all its callers get. */
+  /** Ends a running step and sends the reply to all its callers; does nothing when the step has ended already. */
   end ({ program, root, running, reservation }: StartedStep, reply: CallerReply): void {
     if (program.running !== running) return
     program.running = undefined
@@ -69,7 +72,7 @@
     this._didEnd.fire(program)
   }
 
-  /** The answer that a recorded turn gives. */
+  /** The answer for a recorded turn. */
   toAnswer (program: LiveProgram, turn: RecordedTurn, durable: boolean): Done | Unknown {
     if (turn.result.type === 'unknown') {
       return { type: 'unknown', reason: Reason.AnswerLost, detail: 'the step was sent and its answer is lost', programId: program.state.programId, step: turn.step, historyDigest: turn.historyDigest }
@@ -77,7 +80,7 @@
     return { type: 'done', programId: program.state.programId, step: turn.step, result: turn.result, historyDigest: turn.historyDigest, durable, home: this._selfRef() }
   }
 
-  /** Refuses a request that was not started. */
+  /** Refuses a request that was not started; the reply is "unknown" if an earlier copy of it may have run. */
   refuse (exchange: CallerExchange<StepRequest>, program: LiveProgram, reason: Reason, detail: string): void {
     const expected = { step: nextStepOf(program.state), historyDigest: historyDigestOf(program.state) }
     if (mayHaveRun(program, exchange.request)) {
@@ -88,7 +91,7 @@
     this._callers.reply(exchange.requestId, { type: 'notRun', reason, detail, home: this._selfRef(), expected })
   }
 
-  /** A refusal of a started step, unless an earlier copy of it may have run. */
+  /** The refusal of a started step that did not run; "unknown" if an earlier copy of it may have run. */
   notRun (started: StartedStep, reason: Reason, detail: string, retryAfterMs?: number): CallerReply {
     if (mayHaveRun(started.program, started.request)) return this.unknown(started, reason, detail, retryAfterMs)
     return { type: 'notRun', reason, detail, retryAfterMs, home: this._selfRef() }
@@ -101,10 +104,10 @@
     return { type: 'unknown', reason, detail, programId: program.state.programId, step: running.step, historyDigest, retryAfterMs }
   }
 
-  /** The claim was void, so this node sent nothing; a step sent before may have been taken up by the new home. */
+  /** The reply when the intent record came after a fence: nothing was sent here, but the new owner may have run an earlier copy. */
   refusalAfterMove (started: StartedStep): CallerReply {
-    if (started.request.isResend) return this.unknown(started, Reason.OwnerMoved, 'the program has a new home', RETRY_AFTER_MS)
-    return this.notRun(started, Reason.OwnerMoved, 'the program has a new home', RETRY_AFTER_MS)
+    if (started.request.isResend) return this.unknown(started, Reason.OwnerMoved, 'the program has a new owner', RETRY_AFTER_MS)
+    return this.notRun(started, Reason.OwnerMoved, 'the program has a new owner', RETRY_AFTER_MS)
   }
 
   private _selfRef (): NodeRef {
--- a/packages/core/src/common/programs/stepRunner.ts
+++ b/packages/core/src/common/programs/stepRunner.ts
@@ -114,9 +114,9 @@
     const nowMs = this._clock.nowMs()
     const root = this._programs.rootOf(program)
     const openIntentCount = this._programs.treeOf(root.state.programId).filter(member => member.state.openClaim !== undefined && member.running === undefined).length
-    const reservation = reserveBudget(root, request.call, nowMs, openIntentCount)
-    if (reservation.isLeft()) {
-      const problem = reservation.extract() as { field: string, limit: number }
+    const reservationResult = reserveBudget(root, request.call, nowMs, openIntentCount)
+    if (reservationResult.isLeft()) {
+      const problem = reservationResult.extract() as { field: string, limit: number }
       this._ending.refuse(exchange, program, Reason.BudgetExceeded, `the budget allows ${problem.limit} ${problem.field}`)
       if (problem.field === 'wallTimeMs') this._closing.close(root, 'wall time is used up')
       return
@@ -126,7 +126,7 @@
     this._addListener(exchange, program, running)
     const wallLeftMs = root.state.openedAtMs + root.state.budget.wallTimeMs - nowMs
     const deadlineMs = nowMs + Math.min(request.timeoutMs, wallLeftMs)
-    const started: StartedStep = { program, root, request, running, reservation: reservation.extract() as Reservation, deadlineMs }
+    const started: StartedStep = { program, root, request, running, reservation: reservationResult.extract() as Reservation, deadlineMs }
     if (request.call.type === 'model') this._modelSteps.start(started, request.call)
     else this._serviceSteps.start(started, request.call)
   }
@@ -191,7 +191,7 @@
     })
   }
 
-  /** Records the result of an open intent; its call was sent earlier and costs no tokens. */
+  /** Records the result of an open intent and counts its call; service calls use no tokens. */
   private _recordResolved (program: LiveProgram, intent: OpenIntent, result: StepResult, onAnswer: (answer: CallerReply) => void): void {
     const { step, key, call, callDigest } = intent
     const turn = addTurn(program.state, { step, key, call, callDigest, result })
--- a/packages/core/src/common/programs/takeover.ts
+++ b/packages/core/src/common/programs/takeover.ts
@@ -230,15 +230,15 @@
       onSelected(programs)
       return
     }
-    const sourceStates = new Map<string, JournalState>()
+    const statesBySource = new Map<string, JournalState>()
     for (const source of sources) {
       this._reader.readJournal(source, sourceState => {
-        if (sourceState !== undefined) sourceStates.set(source, sourceState)
+        if (sourceState !== undefined) statesBySource.set(source, sourceState)
         sources.delete(source)
         if (sources.size > 0) return
-        const isComplete = [...state.adoptedFrom.values()].every(name => sourceStates.has(name))
+        const isComplete = [...state.adoptedFrom.values()].every(name => statesBySource.has(name))
         if (!isComplete) this._postponeTakeover(attempt)
-        else onSelected(programs.filter(program => isOwnedBy(attempt.writer, state, sourceStates, program.programId)))
+        else onSelected(programs.filter(program => isOwnedBy(attempt.writer, state, statesBySource, program.programId)))
       })
     }
   }
--- a/packages/core/test/common/programs/budget.test.ts
+++ b/packages/core/test/common/programs/budget.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the budget that the programs of a tree share. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { createLiveProgram, type IJournalEpoch, type LiveProgram, releaseReservation, reserveBudget, recordSpending, type StepCall, tokensLeft } from '@trefoilshunt/core'
@@ -29,26 +30,26 @@
   return reserved.isLeft() ? (reserved.extract() as { field: string }).field : undefined
 }
 
-test('steps of sub-agents that run at once count before they end', () => {
+test('running steps of sub-agents count against the budget', () => {
   const root = createRoot({ steps: 2 })
   assert.is(problemOf(root, MODEL), undefined)
   assert.is(problemOf(root, MODEL), undefined)
   assert.is(problemOf(root, MODEL), 'steps')
 })
 
-test('tool calls that run at once count before they end', () => {
+test('running tool calls count against the budget', () => {
   const root = createRoot({ toolCalls: 1 })
   assert.is(problemOf(root, TOOL), undefined)
   assert.is(problemOf(root, TOOL), 'toolCalls')
 })
 
-test('a step of unknown fate counts until it is recorded', () => {
+test('a step with an unknown outcome counts until it is recorded', () => {
   const root = createRoot({ steps: 2 })
   assert.ok(reserveBudget(root, MODEL, 0, 1).isRight())
   assert.ok(reserveBudget(root, MODEL, 0, 1).isLeft())
 })
 
-test('an answer is shortened to what is left, and refused when nothing is left', () => {
+test('maxTokens is lowered to the remaining budget, and the step is refused when nothing remains', () => {
   const root = createRoot({ tokens: 100 })
   const first = reserveBudget(root, MODEL, 0).unsafeCoerce()
   assert.is(first.maxTokens, 50)
@@ -56,7 +57,7 @@
   assert.is(problemOf(root, MODEL), 'tokens')
 })
 
-test('what a step did not use comes back', () => {
+test('tokens that a step reserved and did not use are available again', () => {
   const root = createRoot({ tokens: 100 })
   const reservation = reserveBudget(root, MODEL, 0).unsafeCoerce()
   recordSpending(root, MODEL, 15)
@@ -65,7 +66,7 @@
   assert.equal(root.outstanding, { tokens: 0, steps: 0, toolCalls: 0 })
 })
 
-test('wall time ends a program', () => {
+test('a step is refused once the wall time is used up', () => {
   assert.is(problemOf(createRoot({ wallTimeMs: 1_000 }), MODEL, 1_000), 'wallTimeMs')
 })
 
--- a/packages/core/test/common/programs/stepDecision.test.ts
+++ b/packages/core/test/common/programs/stepDecision.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the decision how a step request is handled. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { addTurn, createLiveProgram, decideStep, digestValue, digestWithUnknown, historyDigestOf, type IJournalEpoch, type LiveProgram, type ProgramState, type StepCall, type StepRequest } from '@trefoilshunt/core'
@@ -80,37 +81,37 @@
   assert.is(decide(program, request(program, 4)).type, 'refuse')
 })
 
-test('a gap is filled from a copy whose digests prove it', () => {
+test('missing turns are taken from a copy whose digests match; other copies are refused', () => {
   const whole = createProgram(4)
   const known = createProgram(2)
   const copy = whole.state.turns.map(({ step, key, call, result }) => ({ step, key, call, result }))
-  const ask = (history: typeof copy | undefined) => decide(known, request(whole, 5, { history }))
-  assert.is(ask(undefined).type, 'historyNeeded')
-  const supplied = ask(copy)
+  const decideWithHistory = (history: typeof copy | undefined) => decide(known, request(whole, 5, { history }))
+  assert.is(decideWithHistory(undefined).type, 'historyNeeded')
+  const supplied = decideWithHistory(copy)
   assert.is(supplied.type === 'resupply' && supplied.missing.length, 2)
   const forged = copy.map((turn, index) => index === 3 ? { ...turn, result: { ...turn.result, text: 'forged' } as typeof turn.result } : turn)
-  assert.is(ask(forged).type, 'refuse')
+  assert.is(decideWithHistory(forged).type, 'refuse')
   const foreign = copy.map((turn, index) => index === 0 ? { ...turn, key: 'k1', result: { ...turn.result, text: 'foreign' } as typeof turn.result } : turn)
-  assert.is(ask(foreign).type, 'refuse')
+  assert.is(decideWithHistory(foreign).type, 'refuse')
 })
 
-test('behind a claim without a result only the claimed step or a step that accepts the unknown goes on', () => {
+test('with an open intent only its own step or a step that accepts the unknown result continues', () => {
   const program = createProgram(1)
-  const claim = { step: 2, key: 'k2', attempt: 1, call: DEPOSIT, callDigest: digestValue(DEPOSIT) }
-  program.state.openClaim = claim
+  const intent = { step: 2, key: 'k2', attempt: 1, call: DEPOSIT, callDigest: digestValue(DEPOSIT) }
+  program.state.openClaim = intent
   assert.is(decide(program, request(program, 2, { call: DEPOSIT })).type, 'resolveClaim')
   assert.is(decide(program, request(program, 2, { call: CALL })).type, 'refuse')
-  assert.is(decide(program, request(program, 3, { historyDigest: digestWithUnknown(program.state, claim) })).type, 'recordUnknown')
+  assert.is(decide(program, request(program, 3, { historyDigest: digestWithUnknown(program.state, intent) })).type, 'recordUnknown')
   assert.is(decide(program, request(program, 3)).type, 'historyNeeded')
 })
 
-test('a program on the move starts nothing', () => {
+test('a program in a handover starts no step', () => {
   const program = createProgram(0)
   program.isMoving = true
   assert.is(decide(program, request(program, 1)).type, 'wait')
 })
 
-test('a closed program replays but starts nothing', () => {
+test('a closed program replays recorded steps and starts none', () => {
   const program = createProgram(1)
   program.state.closedReason = 'closed by the caller'
   assert.is(decide(program, request(program, 1)).type, 'replay')
