--- a/packages/core/src/common/programs/modelSteps.ts
+++ b/packages/core/src/common/programs/modelSteps.ts
@@ -16,8 +16,8 @@
 import { fingerprintOf, type StartedStep } from './startedStep.js'
 import { StepEnding } from './stepEnding.js'
 
-/** The cache is kept for this many expected pauses. */
-const RETAIN_PAUSES = 4
+/** Workers retain a program's cache for this many expected pauses between its steps. */
+const RETAINED_PAUSES = 4
 
 @injectable()
 export class ModelSteps {
@@ -27,11 +27,11 @@
     @inject(ICallers) private readonly _callers: ICallers,
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IModelDispatch) private readonly _models: IModelDispatch,
-    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
+    @inject(IWorkerCoordinator) private readonly _workerCoordinator: IWorkerCoordinator,
     @inject(StepEnding) private readonly _ending: StepEnding
   ) {}
 
-  /** Starts a call whose budget is reserved. */
+  /** Starts a call whose budget is reserved; records the token reservation in the journal before it dispatches the call. */
   start (started: StartedStep, call: ModelCall): void {
     const { program, request, running, reservation } = started
     const kind = this._configuration.findKind(program.state.kind)
@@ -41,7 +41,7 @@
       return
     }
     running.cancel = reason => this._cancelBeforeDispatch(started, reason)
-    this._reserveDurably(started, reservation.promptTokens + reservation.maxTokens, () => {
+    this._recordReservation(started, reservation.promptTokens + reservation.maxTokens, () => {
       if (program.running !== running) return
       this._dispatchModel(started, call, model, request)
     })
@@ -51,8 +51,8 @@
     const { program, running, reservation, deadlineMs } = started
     const { state } = program
     const messages = toConversation(state.turns, call.messages)
-    let chargedBefore = 0
-    const job = this._models.run({
+    let earlierAttemptTokens = 0
+    const modelRun = this._models.run({
       programId: state.programId,
       customer: state.customer,
       kind: state.kind,
@@ -67,20 +67,20 @@
       deadlineMs,
       fingerprint: fingerprintOf(program, running.callDigest),
       cachedWorker: cachedWorkerOf(state, model),
-      retainMs: this._leads.expectedPauseMs(state.kind) * RETAIN_PAUSES,
+      retainMs: this._workerCoordinator.expectedPauseMs(state.kind) * RETAINED_PAUSES,
       onChunk: (text, tokens) => this._handleChunk(running, text, tokens),
       onWillRetry: (maxTokens, proceed) => {
-        chargedBefore += reservation.maxTokens
-        const isAffordable = tokensLeft(started.root) >= chargedBefore
-        if (isAffordable) this._reserveDurably(started, reservation.promptTokens + chargedBefore + maxTokens, proceed)
+        earlierAttemptTokens += reservation.maxTokens
+        const isAffordable = tokensLeft(started.root) >= earlierAttemptTokens
+        if (isAffordable) this._recordReservation(started, reservation.promptTokens + earlierAttemptTokens + maxTokens, proceed)
         else this._ending.end(started, this._ending.unknown(started, Reason.BudgetExceeded, 'the budget does not cover another attempt'))
       },
       onDone: outcome => this._finishModel(started, model, outcome)
     })
     running.cancel = reason => {
-      job.dispose()
+      modelRun.dispose()
       program.sentStep = request.step
-      program.carriedTokens += reservation.promptTokens + reservation.maxTokens + chargedBefore
+      program.unrecordedTokens += reservation.promptTokens + reservation.maxTokens + earlierAttemptTokens
       this._ending.end(started, this._ending.unknown(started, Reason.Cancelled, `the step was stopped: ${reason}`))
     }
   }
@@ -106,35 +106,39 @@
       this._ending.end(started, this._ending.notRun(started, outcome.reason, outcome.detail, outcome.retryAfterMs))
     } else {
       program.sentStep = started.request.step
-      program.carriedTokens += reservation.promptTokens + outcome.chargedTokens
+      program.unrecordedTokens += reservation.promptTokens + outcome.chargedTokens
       this._ending.end(started, this._ending.unknown(started, outcome.reason, outcome.detail, outcome.retryAfterMs))
     }
   }
 
-  /** Makes sure that the log covers what the step may use, so that a takeover never undercounts. */
-  private _reserveDurably (started: StartedStep, neededTokens: number, proceed: () => void): void {
+  /**
+   * Records the tokens that the step may use, because a takeover counts recorded reservations as spent. Proceeds without the
+   * record when the log does not accept it within the wait; a takeover may then count too little.
+   */
+  private _recordReservation (started: StartedStep, neededTokens: number, proceed: () => void): void {
     const { program } = started
-    const needed = neededTokens + program.carriedTokens
-    if (program.state.reservedTokens >= needed) {
+    const requiredTokens = neededTokens + program.unrecordedTokens
+    if (program.state.reservedTokens >= requiredTokens) {
       proceed()
       return
     }
     appendWithin({
       journal: program.journal,
       timers: this._timers,
-      record: { type: 'tokensReserved', programId: program.state.programId, tokens: needed },
+      record: { type: 'tokensReserved', programId: program.state.programId, tokens: requiredTokens },
       waitMs: this._settings.turnDurabilityWaitMs,
       onSettled: durability => {
         if (durability === 'fenced') {
-          this._ending.end(started, this._ending.unknown(started, Reason.OwnerMoved, 'the program has a new home'))
+          this._ending.end(started, this._ending.unknown(started, Reason.OwnerMoved, 'the program has a new owner'))
           return
         }
-        if (durability === 'durable') program.state.reservedTokens = needed
+        if (durability === 'durable') program.state.reservedTokens = requiredTokens
         proceed()
       }
     })
   }
 
+  /** Tokens of the recorded history, as the engine counted them in the last model turn. */
   private _historyTokens (turns: RecordedTurn[]): number {
     const last = turns.findLast(turn => turn.result.type === 'model')?.result
     return last?.type === 'model' ? last.promptTokens + last.completionTokens : 0
