--- a/packages/node/src/node/routed/appendQueue.ts
+++ b/packages/node/src/node/routed/appendQueue.ts
@@ -1,31 +1,33 @@
-/** Appends the records of one partition in order, several calls at a time, until each of them is in the log. */
+/** Appends the records of one partition in order and repeats each append until it is in the log. */
 import type { KeyedRecord, LogFields } from '@trefoilshunt/core'
 import type { AppendResult, ILogClient } from '../../common/routed/logClient.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 import { AdaptiveTimeout } from './adaptiveTimeout.js'
 
-/** All owners write under one producer name, so that a higher epoch refuses every earlier owner. */
+/** All owners append under one producer name, so that the log refuses earlier owners once it has a higher epoch. */
 export const PRODUCER = 'owner'
-/** First time-out of an append; a repeat under the same sequence number is recognised by the log. */
-const FIRST_TIMEOUT_MS = 80
+/** Shortest time-out of an append. The log recognises a repeat by its sequence number. */
+const MIN_TIMEOUT_MS = 80
 const MAX_TIMEOUT_MS = 1_500
 const RETRY_MS = 40
 const MAX_RETRY_MS = 250
-/** Records that nobody waits for go with the next append, at the latest after this. */
-const LAZY_MS = 400
-/** Bytes around each record of an append. */
+/** Longest delay of records that nobody waits for; an earlier append takes them along. */
+const LAZY_FLUSH_MS = 400
+/** Upper bound on the bytes that a record adds to its key and value in an append. */
 const RECORD_FRAME_BYTES = 8
 
-/** Fate of records: in the log, or lost with the partition before they got there. */
+/** Outcome of an append: in the log, or given up with the partition before that was known. */
 export type RecordOutcome = 'recorded' | 'lost'
 
 export interface AppendQueueOptions {
   topic: string
   partition: number
   log: ILogClient
+  /** Size up to which waiting appends are merged in one call; a single larger append is sent whole. */
   maxAppendBytes: number
-  /** Called once when another owner has taken over. */
+  /** Called once, when the log refuses an append because another owner has a higher epoch. The caller then calls `stop`. */
   onFenced: () => void
+  /** Writes a log line. */
   write: (event: string, fields: LogFields) => void
 }
 
@@ -36,8 +38,8 @@
 }
 
 /**
- * Keeps the order of calls, also between records that wait for the next append and those that don't: the log keeps the
- * newest record of a key, so an older state must never follow a newer one.
+ * Sends one append at a time and merges the ones that wait for it. Records reach the log in the order of the calls, lazy ones
+ * included: the log keeps the last record of each key, so an older state must never follow a newer one.
  *
  * @example
  * queue.start(epoch)
@@ -48,60 +50,62 @@
   private _sequence = 0
   private _batches: Batch[] = []
   private _inFlight: Batch | undefined
-  private _sinceMs: number | undefined
+  private _inFlightSinceMs: number | undefined
   private _lazyRecords: KeyedRecord[] = []
   private _lazyTimer: NodeJS.Timeout | undefined
-  private readonly _timeout = new AdaptiveTimeout({ firstMs: FIRST_TIMEOUT_MS, maxMs: MAX_TIMEOUT_MS })
+  private readonly _timeout = new AdaptiveTimeout({ minMs: MIN_TIMEOUT_MS, maxMs: MAX_TIMEOUT_MS })
   private _isStopped = false
 
   constructor (private readonly _options: AppendQueueOptions) {}
 
-  /** Appends that are not in the log yet. */
+  /** Batches that are queued or in flight, without the lazy records that are not flushed yet. */
   get backlog (): number {
     return this._batches.length + (this._inFlight === undefined ? 0 : 1)
   }
 
-  /** How long the oldest append has been under way. */
+  /** Milliseconds since the batch in flight was first sent; 0 when there is none. */
   get waitingMs (): number {
-    return this._sinceMs === undefined ? 0 : steadyNowMs() - this._sinceMs
+    return this._inFlightSinceMs === undefined ? 0 : steadyNowMs() - this._inFlightSinceMs
   }
 
-  /** Begins to append under an epoch that the log has accepted. */
+  /** Starts to send under an epoch that the log has accepted. Earlier appends wait for this. */
   start (epoch: number): void {
     this._epoch = epoch
-    this._pump()
+    this._sendNext()
   }
 
+  /** Appends records after all earlier ones. Without records it checks that the log still accepts the epoch. */
   async append (records: KeyedRecord[]): Promise<RecordOutcome> {
     if (this._isStopped) return 'lost'
     return await new Promise(resolve => {
-      this._enqueue([...this._takeLazy(), ...records], resolve)
-      this._pump()
+      this._enqueue([...this._dequeueLazy(), ...records], resolve)
+      this._sendNext()
     })
   }
 
-  /** Appends with the next call, or after a while. */
+  /** Appends records with the next append, or after `LAZY_FLUSH_MS`. Nobody learns whether they reach the log. */
   appendLazily (records: readonly KeyedRecord[]): void {
     if (records.length === 0 || this._isStopped) return
     this._lazyRecords.push(...records)
-    this._lazyTimer ??= setTimeout(() => this.flushLazy(), LAZY_MS)
+    this._lazyTimer ??= setTimeout(() => this.flushLazy(), LAZY_FLUSH_MS)
   }
 
+  /** Queues the lazy records at once. */
   flushLazy (): void {
-    const records = this._takeLazy()
+    const records = this._dequeueLazy()
     if (records.length === 0 || this._isStopped) return
     this._enqueue(records)
-    this._pump()
+    this._sendNext()
   }
 
-  /** Ends all appends; returns how many were not in the log. */
+  /** Stops sending; all waiters get 'lost'. Returns the batches without a confirmation of the log, and the lazy records not queued. */
   stop (): { unrecordedBatches: number, unrecordedLazily: number } {
     this._isStopped = true
     const batches = [...(this._inFlight === undefined ? [] : [this._inFlight]), ...this._batches]
-    const unrecordedLazily = this._takeLazy().length
+    const unrecordedLazily = this._dequeueLazy().length
     this._batches = []
     for (const batch of batches) {
-      for (const settle of batch.waiters) settle('lost')
+      for (const resolve of batch.waiters) resolve('lost')
     }
     return { unrecordedBatches: batches.length, unrecordedLazily }
   }
@@ -118,18 +122,18 @@
     if (waiter !== undefined) batch.waiters.push(waiter)
   }
 
-  private _takeLazy (): KeyedRecord[] {
+  private _dequeueLazy (): KeyedRecord[] {
     clearTimeout(this._lazyTimer)
     this._lazyTimer = undefined
     return this._lazyRecords.splice(0)
   }
 
-  private _pump (): void {
+  private _sendNext (): void {
     if (this._inFlight !== undefined || this._epoch === undefined || this._isStopped) return
     const batch = this._batches.shift()
     if (batch === undefined) return
     this._inFlight = batch
-    this._sinceMs = steadyNowMs()
+    this._inFlightSinceMs = steadyNowMs()
     void this._appendBatch(batch, this._epoch)
   }
 
@@ -146,7 +150,7 @@
       })
       if (this._isStopped) return
       if (result.type === 'appended') {
-        this._finish(batch)
+        this._completeBatch(batch)
         return
       }
       if (result.type === 'fenced') {
@@ -154,7 +158,7 @@
         return
       }
       this._prepareRepeat(result)
-      this._options.write('appendRepeated', { partition: this._options.partition, epoch, sequence: this._sequence, tries, detail: describeAppend(result) })
+      this._options.write('appendRepeated', { partition: this._options.partition, epoch, sequence: this._sequence, tries, detail: describeFailedAppend(result) })
       if (result.type !== 'outOfSequence') await delay(Math.min(MAX_RETRY_MS, RETRY_MS * tries))
     }
   }
@@ -164,16 +168,16 @@
     else if (result.type === 'unknown') this._timeout.recordTimeout()
   }
 
-  private _finish (batch: Batch): void {
+  private _completeBatch (batch: Batch): void {
     this._timeout.recordAnswer()
     this._inFlight = undefined
-    this._sinceMs = undefined
-    for (const settle of batch.waiters) settle('recorded')
-    this._pump()
+    this._inFlightSinceMs = undefined
+    for (const resolve of batch.waiters) resolve('recorded')
+    this._sendNext()
   }
 }
 
-/** Why an append did not succeed, for the log. */
-export function describeAppend (result: AppendResult): string {
+/** The reason why an append failed, for log lines. */
+export function describeFailedAppend (result: AppendResult): string {
   return 'detail' in result ? result.detail : result.type === 'outOfSequence' ? `expected ${result.expected}` : result.type
 }
--- a/packages/node/src/node/routed/partitionHost.ts
+++ b/packages/node/src/node/routed/partitionHost.ts
@@ -1,50 +1,55 @@
-/** The partitions that the log's member group gives to this node. */
+/** Keeps this node in the log's member group and runs a `PartitionOwner` for each partition that the group assigns to it. */
 import type { IRandom, LogFields } from '@trefoilshunt/core'
 import type { ILogClient } from '../../common/routed/logClient.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 import { AdaptiveTimeout } from './adaptiveTimeout.js'
 import { EPOCHS_PER_GENERATION, OwnerState, PartitionOwner, TURN_TOPIC } from './partitionOwner.js'
 
-const GROUP = 'turn-owners'
-/** Joins within one time to live: three may get lost. */
+const MEMBER_GROUP = 'turn-owners'
+/** Joins sent within one time to live of the membership, so that three of them may fail. */
 const JOINS_PER_TTL = 4
-/** Pause between joins while the membership changes: partitions move only when their holder joins again. */
+/** Period of the joins while the membership changes: a partition moves only when its holder joins again. */
 const SETTLING_JOIN_MS = 50
-/** After a change of the membership it counts as settling for this long. */
+/** How long the short join period is used after a change of the membership. */
 const SETTLING_MS = 700
-/** Partitions that are read at the same time; the rest may have moved on before their turn comes. */
-const PARALLEL_RECOVERIES = 3
-/** First time-out of joins and leaves, which may be repeated; the log answers in some milliseconds. */
-const FIRST_MEMBER_TIMEOUT_MS = 120
-/** A node that leaves tries for this long to tell the log; after that its membership has nearly run out. */
-const LEAVE_MS = 800
-/** A member that hears no other one for this long while the group has others counts as cut off from them. */
-const ISOLATED_MS = 1_500
-/** An isolated node tries the group again after this: the other members may be gone. */
+/** Partitions that recover at the same time. The others wait, and may be reassigned before they are read. */
+const MAX_PARALLEL_RECOVERIES = 3
+/** Shortest time-out of joins and leaves, which may be repeated. The log usually answers within a few milliseconds. */
+const MIN_MEMBER_TIMEOUT_MS = 120
+/** How long a leaving node repeats the leave. After that its membership has nearly expired. */
+const LEAVE_TIMEOUT_MS = 800
+/** A node that has received nothing from any peer for this long, in a group with other members, counts as isolated. */
+const ISOLATED_AFTER_MS = 1_500
+/** An isolated node joins again after this even without peers, because the other members may have crashed. */
 const ISOLATED_RETRY_MS = 3_000
-/** The last records of a partition that is given up get this long; well below a member's time to live. */
-const HANDOVER_MS = 250
+/** Time to append the last records of a partition that is given up; well below a member's time to live. */
+const HANDOVER_TIMEOUT_MS = 250
 const EXPIRE_PERIOD_MS = 5_000
 
 export interface PartitionHostOptions {
-  /** The node's name: after a restart it gets its partitions back at once. */
+  /** The node's name. A restarted node that joins under the same name gets its partitions back at once. */
   member: string
   log: ILogClient
   partitionCount: number
   maxRecordBytes: number
+  /** Size up to which queued appends are merged in one call. */
   maxAppendBytes: number
-  /** Time without a join after which the group gives the partitions to others. */
+  /** Time without a join after which the group assigns the partitions to other members. */
   memberTtlMs: number
+  /** Milliseconds since the log last answered this node. */
   logSilenceMs: () => number
-  /** True while this node hears any other one. */
+  /** True while at least one peer is alive from the point of view of this node. */
   hearsPeers: () => boolean
   random: IRandom
-  /** The set of served partitions has changed. */
+  /** Called when the set of served partitions may have changed. */
   onChanged: () => void
+  /** Writes a log line. */
   write: (event: string, fields: LogFields) => void
 }
 
 /**
+ * Joins the member group periodically, starts and recovers owners of newly assigned partitions, and gives up revoked ones.
+ *
  * @example
  * const host = new PartitionHost(options)
  * host.start()
@@ -52,71 +57,76 @@
  */
 export class PartitionHost {
   private readonly _owners = new Map<number, PartitionOwner>()
-  /** Generations in which a partition was lost to another node; only a later one may be tried again. */
+  /**
+   * Generation in which each partition was last fenced by another owner. The partition is taken again only when a later
+   * generation assigns it.
+   */
   private readonly _fencedGenerations = new Map<number, number>()
   private _generation = 0
-  private _changedAtMs = Number.NEGATIVE_INFINITY
-  private _recoveries = 0
-  private _aloneSinceMs: number | undefined
-  private _lastJoinMs = Number.NEGATIVE_INFINITY
-  private _lastJoinWallMs = 0
+  private _membershipChangedAtMs = Number.NEGATIVE_INFINITY
+  private _runningRecoveries = 0
+  private _withoutPeersSinceMs: number | undefined
+  private _lastJoinSentMs = Number.NEGATIVE_INFINITY
+  private _lastJoinSentWallMs = 0
   private _isStopped = false
   private readonly _memberTimeout: AdaptiveTimeout
   private _expireTimer: NodeJS.Timeout | undefined
 
   constructor (private readonly _options: PartitionHostOptions) {
-    this._memberTimeout = new AdaptiveTimeout({ firstMs: FIRST_MEMBER_TIMEOUT_MS, maxMs: _options.memberTtlMs / 2 })
+    this._memberTimeout = new AdaptiveTimeout({ minMs: MIN_MEMBER_TIMEOUT_MS, maxMs: _options.memberTtlMs / 2 })
   }
 
+  /** Starts to join the member group. */
   start (): void {
-    void this._keepJoined()
+    void this._maintainMembership()
     this._expireTimer = setInterval(() => { for (const owner of this._owners.values()) owner.expire() }, EXPIRE_PERIOD_MS)
   }
 
-  /** The owner object of a partition that this node serves. */
+  /** The owner of a partition; undefined when this node doesn't serve the partition now. */
   find (partition: number): PartitionOwner | undefined {
     const owner = this._owners.get(partition)
     return owner?.isServing === true ? owner : undefined
   }
 
+  /** The owners of all partitions that this node serves now. */
   get served (): PartitionOwner[] {
     return [...this._owners.values()].filter(owner => owner.isServing)
   }
 
-  /** True when the group has other members and none of them was heard for a while. */
+  /** True when the group has had other members for `ISOLATED_AFTER_MS` and none of them was alive for this node in that time. */
   get isIsolated (): boolean {
-    return this._aloneSinceMs !== undefined && steadyNowMs() - this._aloneSinceMs > ISOLATED_MS
+    return this._withoutPeersSinceMs !== undefined && steadyNowMs() - this._withoutPeersSinceMs > ISOLATED_AFTER_MS
   }
 
-  /** Gives up partitions that another node serves under a higher epoch: this one may be unable to learn it from the log. */
+  /** Gives up the partitions that a peer serves under a higher epoch. The log may be unreachable and unable to fence this node. */
   noteOwners (owned: ReadonlyArray<readonly [partition: number, epoch: number]>): void {
     for (const [partition, epoch] of owned) {
       const owner = this._owners.get(partition)
-      if (owner !== undefined && owner.epoch < epoch) this._lose(owner, 'replaced')
+      if (owner !== undefined && owner.epoch < epoch) this._removeOwner(owner, 'replaced')
     }
   }
 
-  /** True when the membership can't have lapsed: judged by both clocks, since a suspended machine counts only one. */
+  /** True while the membership can't have expired. Checks both clocks, because the steady one stands still while the machine is suspended. */
   get isMembershipFresh (): boolean {
     const { memberTtlMs } = this._options
-    return steadyNowMs() - this._lastJoinMs < memberTtlMs && Math.abs(Date.now() - this._lastJoinWallMs) < memberTtlMs
+    return steadyNowMs() - this._lastJoinSentMs < memberTtlMs && Math.abs(Date.now() - this._lastJoinSentWallMs) < memberTtlMs
   }
 
-  /** Time since the log last confirmed the membership. */
+  /** Milliseconds since the last join that the log confirmed was sent; infinite before the first. */
   get joinSilenceMs (): number {
-    return steadyNowMs() - this._lastJoinMs
+    return steadyNowMs() - this._lastJoinSentMs
   }
 
-  /** Records what is left and hands the partitions to the other members. */
+  /** Appends the remaining records for at most `flushMs`, then leaves the group, which assigns the partitions to other members. */
   async stop (flushMs: number): Promise<void> {
     this._isStopped = true
     clearInterval(this._expireTimer)
     await Promise.all([...this._owners.values()].map(async owner => await owner.close(flushMs)))
-    await this._leave()
-    for (const owner of [...this._owners.values()]) this._lose(owner, 'stopped')
+    await this._leaveGroup()
+    for (const owner of [...this._owners.values()]) this._removeOwner(owner, 'stopped')
   }
 
-  /** Ends at once, as a crash would. */
+  /** Stops at once without appending records or leaving the group, as a crash would. */
   close (): void {
     this._isStopped = true
     clearInterval(this._expireTimer)
@@ -124,73 +134,73 @@
     this._owners.clear()
   }
 
-  private async _keepJoined (): Promise<void> {
+  private async _maintainMembership (): Promise<void> {
     const { member, memberTtlMs, log } = this._options
     while (!this._isStopped) {
       if (this.isIsolated) await this._leaveWhileIsolated()
       if (this._isStopped) return
       const sentMs = steadyNowMs()
       const sentWallMs = Date.now()
-      const result = await log.join({ group: GROUP, member, topic: TURN_TOPIC, ttlMs: memberTtlMs, generation: this._generation, timeoutMs: this._memberTimeout.ms })
+      const result = await log.join({ group: MEMBER_GROUP, member, topic: TURN_TOPIC, ttlMs: memberTtlMs, generation: this._generation, timeoutMs: this._memberTimeout.ms })
       if (this._isStopped) return
       if (result.type === 'joined') {
         this._memberTimeout.recordAnswer()
-        this._lastJoinMs = sentMs
-        this._lastJoinWallMs = sentWallMs
+        this._lastJoinSentMs = sentMs
+        this._lastJoinSentWallMs = sentWallMs
         await this._applyMembership(result.generation, result.partitions)
         if (this._isStopped) return
       } else {
         this._memberTimeout.recordTimeout()
-        this._options.write('groupJoinFailed', { detail: result.detail, sinceLastMs: Math.round(sentMs - this._lastJoinMs) })
+        this._options.write('groupJoinFailed', { detail: result.detail, sinceLastMs: Math.round(sentMs - this._lastJoinSentMs) })
       }
-      const isSettling = result.type === 'joined' && steadyNowMs() - this._changedAtMs < SETTLING_MS
+      const isSettling = result.type === 'joined' && steadyNowMs() - this._membershipChangedAtMs < SETTLING_MS
       const periodMs = isSettling ? SETTLING_JOIN_MS : memberTtlMs / JOINS_PER_TTL
       await delay(Math.max(SETTLING_JOIN_MS / 2, periodMs - (steadyNowMs() - sentMs)))
     }
   }
 
-  /** Others could not reach partitions here: they go to members that hear each other. */
+  /** Hands the partitions to members that can reach each other, because other nodes could not reach them here. */
   private async _leaveWhileIsolated (): Promise<void> {
     this._options.write('isolated', { partitions: [...this._owners.keys()].join(',') })
-    await Promise.all([...this._owners.values()].map(async owner => await owner.close(HANDOVER_MS)))
-    for (const owner of [...this._owners.values()]) this._lose(owner, 'isolated')
-    await this._leave()
+    await Promise.all([...this._owners.values()].map(async owner => await owner.close(HANDOVER_TIMEOUT_MS)))
+    for (const owner of [...this._owners.values()]) this._removeOwner(owner, 'isolated')
+    await this._leaveGroup()
     const retryAtMs = steadyNowMs() + ISOLATED_RETRY_MS
     while (!this._options.hearsPeers() && steadyNowMs() < retryAtMs && !this._isStopped) await delay(SETTLING_JOIN_MS)
-    this._aloneSinceMs = undefined
+    this._withoutPeersSinceMs = undefined
   }
 
-  /** Without it the partitions wait until the membership has run out. */
-  private async _leave (): Promise<void> {
-    const untilMs = steadyNowMs() + LEAVE_MS
+  /** Leaves the group, so that its partitions are reassigned before the membership expires. */
+  private async _leaveGroup (): Promise<void> {
+    const untilMs = steadyNowMs() + LEAVE_TIMEOUT_MS
     while (steadyNowMs() < untilMs) {
-      if (await this._options.log.leave(GROUP, this._options.member, this._memberTimeout.ms)) return
+      if (await this._options.log.leave(MEMBER_GROUP, this._options.member, this._memberTimeout.ms)) return
       this._memberTimeout.recordTimeout()
       await delay(SETTLING_JOIN_MS)
     }
-    this._options.write('groupLeaveFailed', { tookMs: LEAVE_MS })
+    this._options.write('groupLeaveFailed', { tookMs: LEAVE_TIMEOUT_MS })
   }
 
   private async _applyMembership (generation: number, partitions: readonly number[]): Promise<void> {
     const hasChanged = generation !== this._generation
     this._generation = generation
-    const isAmongOthers = partitions.length < this._options.partitionCount
-    if (!isAmongOthers || this._options.hearsPeers()) this._aloneSinceMs = undefined
-    else this._aloneSinceMs ??= steadyNowMs()
-    const mine = new Set(partitions.filter(partition => partition < this._options.partitionCount))
-    if (hasChanged) this._changedAtMs = steadyNowMs()
-    if (hasChanged) this._options.write('partitionsAssigned', { generation, partitions: [...mine].join(',') })
-    // The log gives a partition to its next owner only when this node joins with the new generation.
-    const leaving = [...this._owners.values()].filter(owner => !mine.has(owner.partition))
-    await Promise.all(leaving.map(async owner => await owner.close(HANDOVER_MS)))
-    for (const owner of leaving) this._lose(owner, 'reassigned')
-    for (const partition of mine) {
+    const hasOtherMembers = partitions.length < this._options.partitionCount
+    if (!hasOtherMembers || this._options.hearsPeers()) this._withoutPeersSinceMs = undefined
+    else this._withoutPeersSinceMs ??= steadyNowMs()
+    const assigned = new Set(partitions.filter(partition => partition < this._options.partitionCount))
+    if (hasChanged) this._membershipChangedAtMs = steadyNowMs()
+    if (hasChanged) this._options.write('partitionsAssigned', { generation, partitions: [...assigned].join(',') })
+    // The log assigns a revoked partition to its next owner only after this node has joined with the new generation.
+    const revoked = [...this._owners.values()].filter(owner => !assigned.has(owner.partition))
+    await Promise.all(revoked.map(async owner => await owner.close(HANDOVER_TIMEOUT_MS)))
+    for (const owner of revoked) this._removeOwner(owner, 'reassigned')
+    for (const partition of assigned) {
       const isFenced = generation <= (this._fencedGenerations.get(partition) ?? 0)
-      if (!this._owners.has(partition) && !isFenced) this._take(partition, generation)
+      if (!this._owners.has(partition) && !isFenced) this._addOwner(partition, generation)
     }
   }
 
-  private _take (partition: number, generation: number): void {
+  private _addOwner (partition: number, generation: number): void {
     const { log, maxRecordBytes, maxAppendBytes, logSilenceMs, random, onChanged, write } = this._options
     const owner = new PartitionOwner({
       partition,
@@ -201,26 +211,26 @@
       logSilenceMs,
       random,
       write,
-      onLost: (lost, detail) => this._lose(lost, detail),
+      onLost: (lost, detail) => this._removeOwner(lost, detail),
       onServing: onChanged
     })
     this._owners.set(partition, owner)
-    this._recoverNext()
+    this._startRecoveries()
   }
 
-  private _recoverNext (): void {
+  private _startRecoveries (): void {
     for (const owner of this._owners.values()) {
-      if (this._recoveries >= PARALLEL_RECOVERIES) return
+      if (this._runningRecoveries >= MAX_PARALLEL_RECOVERIES) return
       if (owner.state !== OwnerState.Waiting) continue
-      this._recoveries++
+      this._runningRecoveries++
       void owner.recover().finally(() => {
-        this._recoveries--
-        this._recoverNext()
+        this._runningRecoveries--
+        this._startRecoveries()
       })
     }
   }
 
-  private _lose (owner: PartitionOwner, detail: string): void {
+  private _removeOwner (owner: PartitionOwner, detail: string): void {
     if (this._owners.get(owner.partition) === owner) this._owners.delete(owner.partition)
     if (detail === 'fenced') this._fencedGenerations.set(owner.partition, Math.floor(owner.epoch / EPOCHS_PER_GENERATION))
     owner.lose(detail)
--- a/packages/node/src/node/routed/partitionOwner.ts
+++ b/packages/node/src/node/routed/partitionOwner.ts
@@ -1,51 +1,73 @@
-/** One partition of turns and accounts while this node owns it: its folded state and its only writer. */
+/** One partition of turns and token accounts while this node owns it: recovers its state from the log and is its only writer. */
 import { type CachedPart, type GrantRequest, type IRandom, isAccountKey, type RetainedTurn, type KeyedRecord, type LogFields, PartitionState, type TurnEnd } from '@trefoilshunt/core'
 import type { ILogClient } from '../../common/routed/logClient.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 import { AdaptiveTimeout } from './adaptiveTimeout.js'
-import { AppendQueue, describeAppend, PRODUCER, type RecordOutcome } from './appendQueue.js'
+import { AppendQueue, describeFailedAppend, PRODUCER, type RecordOutcome } from './appendQueue.js'
 
+/** Topic of the records of turns and accounts. */
 export const TURN_TOPIC = 'keyed.turns'
-/** First time-out of the calls of a recovery, all of which may be repeated: a loaded log answers a full page within it. */
-const FIRST_RECOVER_TIMEOUT_MS = 250
-/** Longest time-out of a recovery's calls; a slow log takes 60 times its usual 4 ms, and a page several answers' time. */
+/** Shortest time-out of a recovery's calls, all of which may be repeated. A loaded log returns a full page within this time. */
+const MIN_RECOVER_TIMEOUT_MS = 250
+/** Longest time-out of a recovery's calls. A slow log takes 60 times its usual 4 ms, and a page takes as long as several answers. */
 const MAX_RECOVER_TIMEOUT_MS = 3_000
 const RECOVER_RETRY_MS = 50
-/** An append that waits longer than this means that the log is slow or down. */
-const STALLED_MS = 450
-/** A log that answered nothing for this long counts as down: four joins of the member group. */
-const LOG_SILENT_MS = 1_000
-/** Pause between looks at what is left to append while the owner closes. */
+/** The log counts as stalled when an append takes longer than this. */
+const STALLED_AFTER_MS = 450
+/** The log counts as down when it answered nothing for this long, the time of four joins of the member group. */
+const LOG_DOWN_AFTER_MS = 1_000
+/** Period at which a closing owner checks whether records are still to be appended. */
 const CLOSE_POLL_MS = 10
-/** Epochs that belong to one generation of the member group: restarts of its member take higher ones. */
+/** Number of epochs of one generation of the member group. A node that restarts within a generation takes a higher one of them. */
 export const EPOCHS_PER_GENERATION = 2 ** 20
 
+/**
+ * `Waiting`: not recovering yet. `Recovering`: fencing earlier owners and reading accounts. `Serving`: grants turns.
+ * `Lost`: given up for good.
+ */
 export const OwnerState = { Waiting: 'waiting', Recovering: 'recovering', Serving: 'serving', Lost: 'lost' } as const
 export type OwnerState = typeof OwnerState[keyof typeof OwnerState]
 
 export interface PartitionOwnerOptions {
   partition: number
-  /** Generation of the member group that gave the partition to this node. */
+  /** Generation of the member group that assigned the partition to this node. */
   generation: number
   log: ILogClient
   maxRecordBytes: number
+  /** Size up to which queued appends are merged in one call. */
   maxAppendBytes: number
-  /** Time since the log answered this node. */
+  /** Milliseconds since the log last answered this node. */
   logSilenceMs: () => number
   random: IRandom
+  /** Called when another owner has fenced this one; the receiver calls `lose`. */
   onLost: (owner: PartitionOwner, detail: string) => void
+  /** Called once, when turns can be granted. */
   onServing: (owner: PartitionOwner) => void
+  /** Writes a log line. */
   write: (event: string, fields: LogFields) => void
 }
 
+/** Decision on a turn. */
 export type Grant =
-  /** `recorded` resolves to true once the reservation is in the log, false when the partition was lost before. */
+  /**
+   * `recorded` resolves to true once the account's newest record is in the log, false when the partition was lost before.
+   * Undefined when no record of the account is on its way, so that nothing has to be waited for.
+   */
   | { type: 'granted', chain: RetainedTurn[], cached: CachedPart[], recorded: Promise<boolean> | undefined }
+  /** The budget doesn't hold the turn. */
   | { type: 'spent' }
+  /** The previous turn doesn't exist in this partition. */
   | { type: 'noSuchTurn' }
-  /** The log takes no records now, or not all turns are read yet. */
+  /** Undecided: the log takes no records now, or the previous turn may not be read yet. */
   | { type: 'stalled' }
 
+/**
+ * Decides on the turns of one partition. Nothing is granted before earlier owners are fenced and all accounts are read.
+ *
+ * @example
+ * await owner.recover()
+ * const grant = owner.grant(request, true)
+ */
 export class PartitionOwner {
   readonly partition: number
   private readonly _state: PartitionState
@@ -53,11 +75,11 @@
   private _ownerState: OwnerState = OwnerState.Waiting
   private _isHistoryComplete = false
   private _isClosing = false
-  private readonly _recoverTimeout = new AdaptiveTimeout({ firstMs: FIRST_RECOVER_TIMEOUT_MS, maxMs: MAX_RECOVER_TIMEOUT_MS })
+  private readonly _recoverTimeout = new AdaptiveTimeout({ minMs: MIN_RECOVER_TIMEOUT_MS, maxMs: MAX_RECOVER_TIMEOUT_MS })
   private readonly _queue: AppendQueue
-  /** Ends of kept turns that are on their way to the log, by request. */
+  /** Ends of retained turns that are not in the log yet, by request id. */
   private readonly _pendingEnds = new Map<string, Promise<RecordOutcome>>()
-  /** The newest append of each account that is on its way. */
+  /** The newest pending append of each account, by program id. */
   private readonly _accountAppends = new Map<string, Promise<boolean>>()
 
   constructor (private readonly _options: PartitionOwnerOptions) {
@@ -75,7 +97,7 @@
     })
   }
 
-  /** Number under which this node appends; the log refuses lower ones. */
+  /** Epoch under which this node appends; the log refuses appends of lower epochs. */
   get epoch (): number {
     return this._epoch
   }
@@ -84,6 +106,7 @@
     return this._ownerState
   }
 
+  /** True while turns can be granted: all accounts are read, and the partition is neither closing nor lost. */
   get isServing (): boolean {
     return this._ownerState === OwnerState.Serving && !this._isClosing
   }
@@ -105,18 +128,22 @@
     return this._state.programCount
   }
 
+  /** Batches of records that are queued or in flight. */
   get backlog (): number {
     return this._queue.backlog
   }
 
-  /** Fences earlier owners, then reads everything they recorded. */
+  /**
+   * Fences earlier owners, then reads everything they recorded. Resolves when the history is complete or the partition is lost;
+   * the owner serves from the moment at which all accounts are read, which is earlier.
+   */
   async recover (): Promise<void> {
     const startedMs = steadyNowMs()
     this._ownerState = OwnerState.Recovering
     if (!await this._raiseEpoch()) return
     this._queue.start(this._epoch)
     let afterKey: string | undefined
-    let count = 0
+    let recordCount = 0
     for (;;) {
       if (this._isLost()) return
       const page = await this._options.log.readNewest({ topic: TURN_TOPIC, partition: this.partition, afterKey, timeoutMs: this._recoverTimeout.ms })
@@ -125,19 +152,20 @@
         continue
       }
       if (this._isLost()) return
-      for (const record of page.records) this._foldRecovered(record, startedMs)
-      count += page.records.length
+      for (const record of page.records) this._applyRecoveredRecord(record, startedMs)
+      recordCount += page.records.length
       afterKey = page.records.at(-1)?.key
       if (!page.hasMore || afterKey === undefined) break
     }
-    this._serveAccounts(startedMs)
+    this._startServing(startedMs)
     this._isHistoryComplete = true
-    this._options.write('partitionComplete', { partition: this.partition, epoch: this.epoch, records: count, turns: this.turnCount, turnBytes: this.turnBytes, programs: this.programCount, tookMs: Math.round(steadyNowMs() - startedMs) })
+    this._options.write('partitionComplete', { partition: this.partition, epoch: this.epoch, records: recordCount, turns: this.turnCount, turnBytes: this.turnBytes, programs: this.programCount, tookMs: Math.round(steadyNowMs() - startedMs) })
   }
 
-  private _foldRecovered ({ key, value }: KeyedRecord, startedMs: number): void {
+  /** Applies one record of the log, which returns them in the order of their keys: all accounts before all turns. */
+  private _applyRecoveredRecord ({ key, value }: KeyedRecord, startedMs: number): void {
     if (value === undefined) return
-    if (!isAccountKey(key)) this._serveAccounts(startedMs)
+    if (!isAccountKey(key)) this._startServing(startedMs)
     else if (this.isServing) {
       this._options.write('accountOutOfOrder', { partition: this.partition, recordKey: key })
       return
@@ -145,36 +173,39 @@
     if (!this._state.fold(value, Date.now())) this._options.write('recordDamaged', { partition: this.partition, recordKey: key })
   }
 
-  /** All accounts are known: turns can be granted, except those that continue one that isn't read yet. */
-  private _serveAccounts (startedMs: number): void {
+  /** Starts to grant turns, once all accounts are read. Turns that continue an unread one stay undecided until the history is complete. */
+  private _startServing (startedMs: number): void {
     if (this._ownerState !== OwnerState.Recovering) return
     this._ownerState = OwnerState.Serving
     this._options.write('partitionServing', { partition: this.partition, epoch: this.epoch, programs: this.programCount, tookMs: Math.round(steadyNowMs() - startedMs) })
     this._options.onServing(this)
   }
 
-  /** True while the log is slow or down, as far as appends tell. */
+  /** True while the log is slow or down, judged by the append in flight and by the time since the log last answered. */
   get isStalled (): boolean {
-    return this._queue.waitingMs > STALLED_MS || this._options.logSilenceMs() > LOG_SILENT_MS
+    return this._queue.waitingMs > STALLED_AFTER_MS || this._options.logSilenceMs() > LOG_DOWN_AFTER_MS
   }
 
-  /** Tokens that a program has used and reserved. */
+  /** Number of tokens that a program has used and reserved; 0 for an unknown program. */
   committedOf (programId: string): number {
     return this._state.committedOf(programId)
   }
 
-  /** Decides on a turn; its reservation is on its way to the log when this returns. */
-  grant (request: GrantRequest, isKept: boolean): Grant {
-    if (this.isStalled && (isKept || !this._state.isCovered(request))) return { type: 'stalled' }
+  /** Decides on a turn, which is recorded at its end if `isRetained`. When this returns, its reservation is queued for the log. */
+  grant (request: GrantRequest, isRetained: boolean): Grant {
+    if (this.isStalled && (isRetained || !this._state.isCovered(request))) return { type: 'stalled' }
     const decision = this._state.grant(request, Date.now())
     if (decision.type === 'noSuchTurn' && !this._isHistoryComplete) return { type: 'stalled' }
     if (decision.type !== 'granted') return decision
     const { chain, records, cached } = decision
-    if (records.length > 0) this._trackAccount(request.programId, this._queue.append(records).then(outcome => outcome === 'recorded'))
+    if (records.length > 0) this._trackAccountAppend(request.programId, this._queue.append(records).then(outcome => outcome === 'recorded'))
     return { type: 'granted', chain, cached, recorded: this._accountAppends.get(request.programId) }
   }
 
-  /** Takes the end of a turn in; resolves once it is recorded, when the turn is kept. */
+  /**
+   * Applies the end of a turn. For a retained turn it resolves once the turn is in the log, also for a repeated report.
+   * Without a turn to retain, or when nothing is left to record, it resolves to 'recorded' at once.
+   */
   async end (end: TurnEnd): Promise<RecordOutcome> {
     const pending = this._pendingEnds.get(end.requestId)
     if (pending !== undefined) return await pending
@@ -185,33 +216,37 @@
       return 'recorded'
     }
     const appended = this._queue.append(records)
-    this._trackAccount(end.programId, appended.then(outcome => outcome === 'recorded'))
+    this._trackAccountAppend(end.programId, appended.then(outcome => outcome === 'recorded'))
     this._pendingEnds.set(end.requestId, appended)
     const outcome = await appended
     this._pendingEnds.delete(end.requestId)
     return outcome
   }
 
+  /** The turn and all turns before it, in order; undefined when the turn is unknown here. */
   chainOf (turnId: string): RetainedTurn[] | undefined {
     return this._state.chainOf(turnId)
   }
 
-  /** Takes turns of other partitions in. */
+  /** Adds turns of other partitions that a program of this one continues, and records them without waiting. */
   importTurns (chain: readonly RetainedTurn[]): void {
     this._queue.appendLazily(this._state.importTurns(chain, Date.now()))
   }
 
-  /** True when the log confirms that no other node has taken the partition over. */
+  /** True when the log confirms that no other owner has taken over the partition; false when this owner is fenced or lost. */
   async confirm (): Promise<boolean> {
     return await this._queue.append([]) === 'recorded'
   }
 
-  /** Removes turns and accounts whose time is over. */
+  /** Removes expired turns and accounts from memory and from the log. */
   expire (): void {
     if (this.isServing) this._queue.appendLazily(this._state.expire(Date.now()))
   }
 
-  /** Takes no more turns, makes the records exact for the next owner and waits until they are in the log, for a while. */
+  /**
+   * Stops granting turns, records the exact state of the accounts for the next owner and waits up to `timeoutMs` until all
+   * records are in the log. Does nothing unless the owner serves.
+   */
   async close (timeoutMs: number): Promise<void> {
     if (this._ownerState !== OwnerState.Serving) return
     this._isClosing = true
@@ -221,7 +256,7 @@
     while (this.backlog > 0 && this._ownerState === OwnerState.Serving && steadyNowMs() < untilMs) await delay(CLOSE_POLL_MS)
   }
 
-  /** Gives the partition up; what didn't reach the log is lost. */
+  /** Gives up the partition. Records that the log has not confirmed are no longer repeated, and their callers get 'lost'. */
   lose (detail: string): void {
     if (this._ownerState === OwnerState.Lost) return
     this._ownerState = OwnerState.Lost
@@ -232,7 +267,10 @@
     return this._ownerState === OwnerState.Lost
   }
 
-  /** Sets an epoch above every one that was used before. Those of this generation belong to earlier starts of this node. */
+  /**
+   * Raises the epoch above every one used before; false when the partition is lost meanwhile. Higher epochs of this generation
+   * belong to earlier starts of this node. The steps are random.
+   */
   private async _raiseEpoch (): Promise<boolean> {
     const endEpoch = (this._options.generation + 1) * EPOCHS_PER_GENERATION
     for (;;) {
@@ -242,26 +280,26 @@
       })
       if (result.type === 'appended') return true
       if (result.type === 'fenced') {
-        const room = endEpoch - this._epoch - 1
-        if (room <= 1) {
+        const headroom = endEpoch - this._epoch - 1
+        if (headroom <= 1) {
           this._options.onLost(this, 'fenced')
           return false
         }
-        this._epoch += 1 + this._options.random.nextInt(Math.ceil(room / 2))
+        this._epoch += 1 + this._options.random.nextInt(Math.ceil(headroom / 2))
         continue
       }
-      await this._delayRecovery(describeAppend(result))
+      await this._delayRecovery(describeFailedAppend(result))
     }
   }
 
-  /** Waits a moment; the next call gets more time, since the log may be slow. */
+  /** Waits before the next attempt and doubles its time-out, because the log may be slow. */
   private async _delayRecovery (detail: string): Promise<void> {
     this._options.write('partitionRecoveryDelayed', { partition: this.partition, epoch: this.epoch, timeoutMs: this._recoverTimeout.ms, detail })
     this._recoverTimeout.recordTimeout()
     await delay(RECOVER_RETRY_MS)
   }
 
-  private _trackAccount (programId: string, recorded: Promise<boolean>): void {
+  private _trackAccountAppend (programId: string, recorded: Promise<boolean>): void {
     const tracked = recorded.finally(() => {
       if (this._accountAppends.get(programId) === tracked) this._accountAppends.delete(programId)
     })
--- a/packages/node/src/node/routed/topicFollower.ts
+++ b/packages/node/src/node/routed/topicFollower.ts
@@ -1,31 +1,35 @@
-/** Follows a keyed topic: the newest record of each key at first, then every change as it is appended. */
+/** Follows a keyed topic of the log: reads the newest record of each key first, then every change as it is appended. */
 import type { KeyedRecord, LogFields } from '@trefoilshunt/core'
 import type { ILogClient } from '../../common/routed/logClient.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
 
-/** How long the log may hold a read; a connection that went silent is noticed after this and the slack. */
+/** How long the log may hold a read until a record is appended. A dead connection is detected after this and the slack. */
 const READ_WAIT_MS = 2_000
 const READ_SLACK_MS = 700
-const NEWEST_TIMEOUT_MS = 1_200
+const READ_NEWEST_TIMEOUT_MS = 1_200
 const RETRY_MS = 100
 const MAX_RETRY_MS = 400
-/** A node that knows the content looks for it elsewhere after this long without the log. */
-const LOOK_ELSEWHERE_AFTER_MS = 500
+/** A node that already has the content reads the fallback after this long without an answer of the log. */
+const FALLBACK_AFTER_MS = 500
 
 export interface TopicFollowerOptions {
   topic: string
   log: ILogClient
-  /** One record; without a value its key is gone. */
+  /** Called for each record appended; one without a value removes its key. */
   onRecord: (record: KeyedRecord) => void
-  /** The whole content, after the start or after records were missed. */
+  /** Called with the whole content, after the start, after the log dropped records before they were read, and from the fallback. */
   onContent: (records: KeyedRecord[]) => void
+  /** Called when reads of the log begin to succeed or to fail. */
   onReachable: (isReachable: boolean) => void
-  /** The content as peers or copies have it, while this node can't read the topic. */
+  /** Reads the content from peers or snapshots while the log can't be read; undefined when none has it. */
   readElsewhere: () => Promise<KeyedRecord[] | undefined>
+  /** Writes a log line. */
   write: (event: string, fields: LogFields) => void
 }
 
 /**
+ * Repeats failed reads until it is stopped. Every change of the content is passed to `onRecord` or `onContent`.
+ *
  * @example
  * const follower = new TopicFollower({ topic: 'keyed.nodes', log, onRecord, onContent, onReachable, readElsewhere, write })
  * follower.start()
@@ -34,40 +38,46 @@
   private readonly _content = new Map<string, Uint8Array>()
   private _nextOffset: number | undefined
   private _isReachable: boolean | undefined
-  private _heardAtMs = steadyNowMs()
+  private _lastReadAtMs = steadyNowMs()
   private _isStopped = false
   private _hasContent = false
 
   constructor (private readonly _options: TopicFollowerOptions) {}
 
-  /** True once the content was read, from the log or elsewhere. */
+  /** True once the content was read from the log or from the fallback. */
   get hasContent (): boolean {
     return this._hasContent
   }
 
+  /** Name of the followed topic. */
   get topic (): string {
     return this._options.topic
   }
 
-  /** True while reads fail. */
+  /** True while reads of the log fail; false before the first one has ended. */
   get isFailing (): boolean {
     return this._isReachable === false
   }
 
-  /** Time since the log answered. */
+  /** Milliseconds since the log last answered a read; since the creation before the first answer. */
   get silenceMs (): number {
-    return steadyNowMs() - this._heardAtMs
+    return steadyNowMs() - this._lastReadAtMs
   }
 
-  /** The newest record of each key as the log has it; undefined while the topic has not been read. */
+  /**
+   * The newest record of each key; undefined while the topic is still to be read from the log, even if the fallback was read.
+   * After the log was read once, it may be the content of the fallback while reads fail.
+   */
   get content (): KeyedRecord[] | undefined {
     return this._nextOffset === undefined ? undefined : [...this._content].map(([key, value]) => ({ key, value }))
   }
 
+  /** Starts to follow the topic. */
   start (): void {
     void this._follow()
   }
 
+  /** Stops following; a read in progress has no effect any more. */
   stop (): void {
     this._isStopped = true
   }
@@ -77,12 +87,12 @@
     while (!this._isStopped) {
       const isRead = this._nextOffset === undefined ? await this._readNewest() : await this._readChanges(this._nextOffset)
       if (this._isStopped) return
-      this._noteReachable(isRead)
+      this._updateReachable(isRead)
       if (isRead) {
         retryMs = RETRY_MS
         continue
       }
-      if (!this._hasContent || this.silenceMs > LOOK_ELSEWHERE_AFTER_MS) await this._readElsewhere()
+      if (!this._hasContent || this.silenceMs > FALLBACK_AFTER_MS) await this._readFallback()
       await delay(retryMs)
       retryMs = Math.min(MAX_RETRY_MS, retryMs * 2)
     }
@@ -94,19 +104,19 @@
     let afterKey: string | undefined
     let endOffset: number | undefined
     for (;;) {
-      const page = await log.readNewest({ topic, partition: 0, afterKey, timeoutMs: NEWEST_TIMEOUT_MS })
+      const page = await log.readNewest({ topic, partition: 0, afterKey, timeoutMs: READ_NEWEST_TIMEOUT_MS })
       if (page.type === 'failed') {
         write('topicReadFailed', { topic, detail: page.detail, silenceMs: Math.round(this.silenceMs) })
         return false
       }
       records.push(...page.records)
-      // Pages are no snapshot: changes after the first one are read again as changes.
+      // The pages are not one consistent state: changes after the first page are read again from its end offset.
       endOffset ??= page.endOffset
       afterKey = page.records.at(-1)?.key
       if (!page.hasMore || afterKey === undefined) break
     }
     this._nextOffset = endOffset
-    this._takeContent(records)
+    this._replaceContent(records)
     write('topicRead', { topic, records: records.length, nextOffset: endOffset })
     return true
   }
@@ -132,13 +142,13 @@
     return true
   }
 
-  private async _readElsewhere (): Promise<void> {
+  private async _readFallback (): Promise<void> {
     const records = await this._options.readElsewhere()
     if (records === undefined || this._isStopped) return
-    this._takeContent(records)
+    this._replaceContent(records)
   }
 
-  private _takeContent (records: KeyedRecord[]): void {
+  private _replaceContent (records: KeyedRecord[]): void {
     this._content.clear()
     for (const { key, value } of records) {
       if (value !== undefined) this._content.set(key, value)
@@ -147,8 +157,8 @@
     this._options.onContent(records)
   }
 
-  private _noteReachable (isReachable: boolean): void {
-    if (isReachable) this._heardAtMs = steadyNowMs()
+  private _updateReachable (isReachable: boolean): void {
+    if (isReachable) this._lastReadAtMs = steadyNowMs()
     if (isReachable === this._isReachable) return
     this._isReachable = isReachable
     this._options.onReachable(isReachable)
--- a/packages/node/src/node/routed/topicSnapshots.ts
+++ b/packages/node/src/node/routed/topicSnapshots.ts
@@ -1,41 +1,46 @@
 /**
- * Copies of topics that others write, in partitions of a topic of ours: a part of the log may be away while all nodes start anew,
- * and then neither the log nor a peer can tell what the topics hold.
+ * Snapshots of topics that other systems write, stored in a topic of this system. When all nodes restart while a part of the log
+ * is unavailable, neither the log nor a peer has the content of those topics.
  */
 import type { KeyedRecord, LogFields } from '@trefoilshunt/core'
 import type { ILogClient } from '../../common/routed/logClient.js'
 import { delay } from '../steadyClock.js'
 
+/** Topic that holds the snapshots. */
 export const SNAPSHOT_TOPIC = 'keyed.copies'
-/** Each is a whole copy: the log may lose touch with some of its partitions. */
-const COPY_PARTITIONS = 3
-/** How often the writer looks for changes. */
-const CHECK_MS = 250
-/** A starting node hears its peers first, so that not all of them write. */
+/** Each partition holds a whole snapshot, because some partitions of the log may be unavailable. */
+const SNAPSHOT_PARTITIONS = 3
+/** Period at which the writer checks for changes. */
+const CHECK_PERIOD_MS = 250
+/** Gives a starting node time to find its peers, so that only one of them writes. */
 const START_DELAY_MS = 2_000
-/** The writer compares its copies with the log again after this, since another writer may have changed them meanwhile. */
-const RELOAD_MS = 30_000
+/** Period at which the writer reads its snapshots again, because another writer may have changed them. */
+const RELOAD_PERIOD_MS = 30_000
 const RETRY_MS = 1_000
 const CALL_TIMEOUT_MS = 500
 const RECORDS_PER_APPEND = 200
-/** Between the name of the topic and the key of a record; topics have no spaces. */
+/** Between the name of the topic and the key of a record. Names of topics have no spaces. */
 const SEPARATOR = ' '
+/** The log stores the length of a key in one byte. Records whose key is longer with the name of the topic are left out. */
 const MAX_KEY_BYTES = 255
 
 export interface TopicSnapshotsOptions {
   log: ILogClient
-  /** The newest records of each topic to copy; undefined while this node has not read all of them from the log. */
+  /** The newest records of each topic to store; undefined while this node has not read all of these topics from the log. */
   contents: () => ReadonlyMap<string, readonly KeyedRecord[]> | undefined
-  /** True on the one node that writes the copies; two writers do no harm. */
+  /** True on the node that writes the snapshots. Two writers at once do no harm. */
   isWriter: () => boolean
+  /** Writes a log line. */
   write: (event: string, fields: LogFields) => void
 }
 
 /**
+ * Writes the snapshots on one node and reads them on every node.
+ *
  * @example
- * const copies = new TopicCopies({ log, contents, isWriter, write })
- * copies.start()
- * const workers = await copies.read('keyed.servers')
+ * const snapshots = new TopicSnapshots({ log, contents, isWriter, write })
+ * snapshots.start()
+ * const workers = await snapshots.read('keyed.servers')
  */
 export class TopicSnapshots {
   private _changeCount = 0
@@ -43,25 +48,27 @@
 
   constructor (private readonly _options: TopicSnapshotsOptions) {}
 
+  /** Starts to write the snapshots whenever this node is the writer. */
   start (): void {
-    for (let partition = 0; partition < COPY_PARTITIONS; partition++) void this._keepCopy(partition)
+    for (let partition = 0; partition < SNAPSHOT_PARTITIONS; partition++) void this._maintainSnapshot(partition)
   }
 
+  /** Stops writing after the write in progress. */
   stop (): void {
     this._isStopped = true
   }
 
-  /** A record of a copied topic has changed. */
+  /** To be called when a record of a topic with a snapshot has changed, so that the snapshots are updated. */
   noteChanged (): void {
     this._changeCount++
   }
 
-  /** The copied records of a topic; undefined when no copy can be read or none holds the topic. */
+  /** The records of a topic, from the first snapshot that holds any; undefined when none can be read or none holds the topic. */
   async read (topic: string): Promise<KeyedRecord[] | undefined> {
     const prefix = topic + SEPARATOR
-    for (let partition = 0; partition < COPY_PARTITIONS; partition++) {
-      const copy = await this._readCopy(partition)
-      const records = [...copy ?? []]
+    for (let partition = 0; partition < SNAPSHOT_PARTITIONS; partition++) {
+      const snapshot = await this._readSnapshot(partition)
+      const records = [...snapshot ?? []]
         .filter(([key]) => key.startsWith(prefix))
         .map(([key, value]) => ({ key: key.slice(prefix.length), value }))
       if (records.length === 0) continue
@@ -71,37 +78,37 @@
     return undefined
   }
 
-  private async _keepCopy (partition: number): Promise<void> {
+  private async _maintainSnapshot (partition: number): Promise<void> {
     await delay(START_DELAY_MS)
-    let copy: Map<string, Uint8Array> | undefined
-    let copiedCount = -1
-    let loadedAgoMs = 0
+    let snapshot: Map<string, Uint8Array> | undefined
+    let writtenChangeCount = -1
+    let sinceReloadMs = 0
     while (!this._isStopped) {
-      await delay(CHECK_MS)
-      loadedAgoMs += CHECK_MS
+      await delay(CHECK_PERIOD_MS)
+      sinceReloadMs += CHECK_PERIOD_MS
       const contents = this._options.contents()
       if (contents === undefined || !this._options.isWriter()) {
-        copy = undefined
+        snapshot = undefined
         continue
       }
-      if (copy === undefined || loadedAgoMs >= RELOAD_MS) {
-        copy = await this._readCopy(partition)
-        copiedCount = -1
-        loadedAgoMs = 0
+      if (snapshot === undefined || sinceReloadMs >= RELOAD_PERIOD_MS) {
+        snapshot = await this._readSnapshot(partition)
+        writtenChangeCount = -1
+        sinceReloadMs = 0
       }
-      if (copiedCount === this._changeCount) continue
+      if (writtenChangeCount === this._changeCount) continue
       const changeCount = this._changeCount
-      if (copy !== undefined && await this._bringUpToDate(partition, copy, contents)) {
-        copiedCount = changeCount
+      if (snapshot !== undefined && await this._writeChanges(partition, snapshot, contents)) {
+        writtenChangeCount = changeCount
       } else {
-        copy = undefined
+        snapshot = undefined
         await delay(RETRY_MS)
       }
     }
   }
 
-  private async _bringUpToDate (partition: number, copy: Map<string, Uint8Array>, contents: ReadonlyMap<string, readonly KeyedRecord[]>): Promise<boolean> {
-    const changes = this._findChanges(copy, contents)
+  private async _writeChanges (partition: number, snapshot: Map<string, Uint8Array>, contents: ReadonlyMap<string, readonly KeyedRecord[]>): Promise<boolean> {
+    const changes = this._findChanges(snapshot, contents)
     for (let from = 0; from < changes.length; from += RECORDS_PER_APPEND) {
       const records = changes.slice(from, from + RECORDS_PER_APPEND)
       const result = await this._options.log.append({ topic: SNAPSHOT_TOPIC, partition, records, timeoutMs: CALL_TIMEOUT_MS })
@@ -110,35 +117,35 @@
         return false
       }
       for (const { key, value } of records) {
-        if (value === undefined) copy.delete(key)
-        else copy.set(key, value)
+        if (value === undefined) snapshot.delete(key)
+        else snapshot.set(key, value)
       }
     }
-    if (changes.length > 0) this._options.write('copyWritten', { partition, changes: changes.length, records: copy.size })
+    if (changes.length > 0) this._options.write('copyWritten', { partition, changes: changes.length, records: snapshot.size })
     return true
   }
 
-  private _findChanges (copy: ReadonlyMap<string, Uint8Array>, contents: ReadonlyMap<string, readonly KeyedRecord[]>): KeyedRecord[] {
-    const wanted = new Map<string, Uint8Array>()
+  private _findChanges (snapshot: ReadonlyMap<string, Uint8Array>, contents: ReadonlyMap<string, readonly KeyedRecord[]>): KeyedRecord[] {
+    const expected = new Map<string, Uint8Array>()
     for (const [topic, records] of contents) {
       for (const { key, value } of records) {
-        const copyKey = topic + SEPARATOR + key
-        if (value !== undefined && Buffer.byteLength(copyKey) <= MAX_KEY_BYTES) wanted.set(copyKey, value)
+        const snapshotKey = topic + SEPARATOR + key
+        if (value !== undefined && Buffer.byteLength(snapshotKey) <= MAX_KEY_BYTES) expected.set(snapshotKey, value)
       }
     }
     const changes: KeyedRecord[] = []
-    for (const [key, value] of wanted) {
-      const copied = copy.get(key)
-      if (copied === undefined || Buffer.compare(copied, value) !== 0) changes.push({ key, value })
+    for (const [key, value] of expected) {
+      const stored = snapshot.get(key)
+      if (stored === undefined || Buffer.compare(stored, value) !== 0) changes.push({ key, value })
     }
-    for (const key of copy.keys()) {
-      if (!wanted.has(key)) changes.push({ key })
+    for (const key of snapshot.keys()) {
+      if (!expected.has(key)) changes.push({ key })
     }
     return changes
   }
 
-  private async _readCopy (partition: number): Promise<Map<string, Uint8Array> | undefined> {
-    const copy = new Map<string, Uint8Array>()
+  private async _readSnapshot (partition: number): Promise<Map<string, Uint8Array> | undefined> {
+    const snapshot = new Map<string, Uint8Array>()
     let afterKey: string | undefined
     for (;;) {
       const page = await this._options.log.readNewest({ topic: SNAPSHOT_TOPIC, partition, afterKey, timeoutMs: CALL_TIMEOUT_MS })
@@ -147,10 +154,10 @@
         return undefined
       }
       for (const { key, value } of page.records) {
-        if (value !== undefined) copy.set(key, value)
+        if (value !== undefined) snapshot.set(key, value)
       }
       afterKey = page.records.at(-1)?.key
-      if (!page.hasMore || afterKey === undefined) return copy
+      if (!page.hasMore || afterKey === undefined) return snapshot
     }
   }
 }
--- a/packages/node/src/node/routed/turnService.ts
+++ b/packages/node/src/node/routed/turnService.ts
@@ -1,4 +1,4 @@
-/** Grants and ends of turns, at whichever node owns the program's partition. */
+/** Grants and ends turns at the owner of the program's partition, which may be this node or a peer. */
 import { type CachedPart, type GrantRequest, hash32, joinChain, type RetainedTurn, type LogFields, type TurnEnd } from '@trefoilshunt/core'
 import type { EndReply, GrantReply, PeerReply, PeerRequest } from '../../common/routed/routedPeerMessages.js'
 import { delay, steadyNowMs } from '../steadyClock.js'
@@ -7,25 +7,32 @@
 import type { Grant, PartitionOwner } from './partitionOwner.js'
 import type { PeerMesh, PeerResponder } from './peerMesh.js'
 
-/** One request to an owner; well above a round trip between zones and an append beside it. */
+/** Time-out of a grant at a peer; well above a round trip between zones with an append. Ends get twice as long. */
 const OWNER_TIMEOUT_MS = 700
-/** Time for the reservation to be recorded, after the grant. */
+/** Time-out from the request for a grant until its reservation is recorded. */
 const RECORDED_TIMEOUT_MS = 3_000
 const OWNER_RETRY_MS = 25
 const MAX_OWNER_RETRY_MS = 250
-const FIND_TIMEOUT_MS = 500
+const FIND_CHAIN_TIMEOUT_MS = 500
 
-/** A turn that may be sent to a worker. */
+/** A turn that may run at a worker. */
 export interface GrantedTurn {
   type: 'granted'
   /** Inputs and outputs of the earlier turns, in order. */
   chain: Uint8Array[]
-  /** Parts of the prompt that workers have cached. */
+  /** Parts of the prompt that workers hold in their caches. */
   cached: CachedPart[]
-  /** False when the reservation was lost; nothing may then be given to the caller. */
+  /**
+   * Resolves to true once the reservation is in the log. False means that it was lost, and the caller must not get any output.
+   * Undefined when nothing has to be waited for.
+   */
   recorded: Promise<boolean> | undefined
 }
 
+/**
+ * Outcome of a request for a turn. `spent`: the budget doesn't hold the turn. `noSuchTurn`: the previous turn exists nowhere.
+ * `unavailable`: no owner could decide with certainty.
+ */
 export type GrantOutcome = GrantedTurn | { type: 'spent' } | { type: 'noSuchTurn' } | { type: 'unavailable', detail: string }
 
 export interface TurnServiceOptions {
@@ -33,35 +40,39 @@
   host: PartitionHost
   mesh: PeerMesh
   directory: NodeDirectory
+  /** Writes a log line. */
   write: (event: string, fields: LogFields) => void
 }
 
 /**
+ * Decides locally when this node owns the partition and requests the owner otherwise.
+ *
  * @example
- * const outcome = await turns.grant(request, steadyNowMs() + 1_000)
+ * const outcome = await turns.grant(request, true, steadyNowMs() + 1_000)
  */
 export class TurnService {
   constructor (private readonly _options: TurnServiceOptions) {}
 
+  /** The partition of a program, from 0 to `partitionCount` - 1; the same at every node. */
   partitionOf (programId: string): number {
     return hash32(programId) % this._options.partitionCount
   }
 
-  /** Asks the owner for a turn, which is kept if `isKept`; tries again until `untilMs` while no owner can be certain. */
-  async grant (request: GrantRequest, isKept: boolean, untilMs: number): Promise<GrantOutcome> {
+  /** Requests a turn of the owner, which is recorded at its end if `isRetained`. Repeats until `untilMs` while the outcome is `unavailable`. */
+  async grant (request: GrantRequest, isRetained: boolean, untilMs: number): Promise<GrantOutcome> {
     const partition = this.partitionOf(request.programId)
     let outcome: GrantOutcome = { type: 'unavailable', detail: 'no owner is known' }
     do {
       outcome = this._options.host.find(partition) === undefined
-        ? await this._grantAtPeer(partition, request, isKept)
-        : await this._grantHere(partition, request, isKept)
+        ? await this._grantAtPeer(partition, request, isRetained)
+        : await this._grantHere(partition, request, isRetained)
       if (outcome.type !== 'unavailable') return outcome
       await delay(OWNER_RETRY_MS)
     } while (steadyNowMs() < untilMs)
     return outcome
   }
 
-  /** Reports the end of a turn until the owner has taken it in, or `untilMs` has come. */
+  /** Reports the end of a turn to the owner and repeats it until `untilMs`; 'unavailable' when no owner has confirmed it by then. */
   async end (end: TurnEnd, untilMs: number): Promise<'recorded' | 'unavailable'> {
     const partition = this.partitionOf(end.programId)
     let retryMs = OWNER_RETRY_MS
@@ -77,7 +88,7 @@
     }
   }
 
-  /** Answers a peer; false when the request isn't about turns. */
+  /** Handles a peer's request; false, without a reply, when the request isn't about turns. */
   handle (request: PeerRequest, respond: PeerResponder): boolean {
     switch (request.type) {
       case 'grant':
@@ -87,14 +98,14 @@
         void this._endHere(request.partition, request.end).then(reply => respond(reply, true))
         return true
       case 'findChain':
-        void this._findHere(request.turnId).then(reply => respond(reply, true))
+        void this._findChainHere(request.turnId).then(reply => respond(reply, true))
         return true
       default: return false
     }
   }
 
-  private async _serveGrant (partition: number, request: GrantRequest, isKept: boolean, respond: PeerResponder): Promise<void> {
-    const outcome = await this._grantHere(partition, request, isKept)
+  private async _serveGrant (partition: number, request: GrantRequest, isRetained: boolean, respond: PeerResponder): Promise<void> {
+    const outcome = await this._grantHere(partition, request, isRetained)
     if (outcome.type !== 'granted') {
       respond(outcome, true)
       return
@@ -106,16 +117,16 @@
     respond(isRecorded ? { type: 'recorded' } : { type: 'unavailable', detail: 'the partition was lost' }, true)
   }
 
-  private async _grantHere (partition: number, request: GrantRequest, isKept: boolean): Promise<GrantOutcome> {
+  private async _grantHere (partition: number, request: GrantRequest, isRetained: boolean): Promise<GrantOutcome> {
     const owner = this._options.host.find(partition)
     if (owner === undefined) return { type: 'unavailable', detail: 'not the owner' }
-    let grant = owner.grant(request, isKept)
+    let grant = owner.grant(request, isRetained)
     if (grant.type === 'noSuchTurn' && request.previousTurnId !== undefined) {
-      const found = await this._findAnywhere(request.previousTurnId)
+      const found = await this._findChainEverywhere(request.previousTurnId)
       if (found === 'uncertain') return { type: 'unavailable', detail: 'not every partition could be searched' }
       if (found !== undefined) {
         owner.importTurns(found)
-        grant = owner.grant(request, isKept)
+        grant = owner.grant(request, isRetained)
       }
     }
     this._logDecision(owner, request, grant)
@@ -123,7 +134,7 @@
       const { chain, cached, recorded } = grant
       return { type: 'granted', chain: joinChain(chain, new Uint8Array(0)).slice(0, -1), cached, recorded }
     }
-    if (grant.type === 'stalled') return { type: 'unavailable', detail: 'the log takes no records, or the history is still read' }
+    if (grant.type === 'stalled') return { type: 'unavailable', detail: 'the log takes no records, or the history is not read completely yet' }
     if (!await owner.confirm()) return { type: 'unavailable', detail: 'the ownership is not confirmed' }
     return grant
   }
@@ -146,18 +157,18 @@
     })
   }
 
-  private async _grantAtPeer (partition: number, request: GrantRequest, isKept: boolean): Promise<GrantOutcome> {
+  private async _grantAtPeer (partition: number, request: GrantRequest, isRetained: boolean): Promise<GrantOutcome> {
     const owner = this._options.directory.ownerOf(partition)
     if (owner === undefined) return { type: 'unavailable', detail: 'no owner is known' }
     return await new Promise(resolve => {
-      let settleRecorded: ((isRecorded: boolean) => void) | undefined
+      let resolveRecorded: ((isRecorded: boolean) => void) | undefined
       const timer = setTimeout(() => resolve({ type: 'unavailable', detail: `${owner} did not answer` }), OWNER_TIMEOUT_MS)
-      this._options.mesh.request(owner, { type: 'grant', partition, request, isKept }, {
+      this._options.mesh.request(owner, { type: 'grant', partition, request, isKept: isRetained }, {
         timeoutMs: RECORDED_TIMEOUT_MS,
         onReply: reply => {
           clearTimeout(timer)
-          if (settleRecorded !== undefined) settleRecorded(reply?.type === 'recorded')
-          else resolve(toOutcome(reply, owner, settle => { settleRecorded = settle }))
+          if (resolveRecorded !== undefined) resolveRecorded(reply?.type === 'recorded')
+          else resolve(toOutcome(reply, owner, resolvePending => { resolveRecorded = resolvePending }))
         }
       })
     })
@@ -179,8 +190,8 @@
     return { type: 'ended' }
   }
 
-  /** Searches the partitions served here; those whose ownership is confirmed are named. */
-  private async _findHere (turnId: string): Promise<Extract<PeerReply, { type: 'chain' }>> {
+  /** Searches the partitions served here. Without a chain, `partitions` are those with a complete history and a confirmed ownership. */
+  private async _findChainHere (turnId: string): Promise<Extract<PeerReply, { type: 'chain' }>> {
     const owners = this._options.host.served
     for (const owner of owners) {
       const chain = owner.chainOf(turnId)
@@ -190,8 +201,8 @@
     return { type: 'chain', partitions: confirmed.flat() }
   }
 
-  /** Undefined only when every partition was searched by its confirmed owner. */
-  private async _findAnywhere (turnId: string): Promise<RetainedTurn[] | undefined | 'uncertain'> {
+  /** Searches for a turn at all owners. Undefined means that it exists nowhere: every partition was searched by its confirmed owner. */
+  private async _findChainEverywhere (turnId: string): Promise<RetainedTurn[] | undefined | 'uncertain'> {
     const { mesh, directory, partitionCount } = this._options
     const owners = new Set<string>()
     for (let partition = 0; partition < partitionCount; partition++) {
@@ -199,8 +210,8 @@
       if (owner !== undefined) owners.add(owner)
     }
     const replies = await Promise.all([
-      this._findHere(turnId),
-      ...[...owners].map(async owner => await mesh.requestOnce(owner, { type: 'findChain', turnId }, FIND_TIMEOUT_MS))
+      this._findChainHere(turnId),
+      ...[...owners].map(async owner => await mesh.requestOnce(owner, { type: 'findChain', turnId }, FIND_CHAIN_TIMEOUT_MS))
     ])
     const searched = new Set<number>()
     for (const reply of replies) {
@@ -212,11 +223,11 @@
   }
 }
 
-function toOutcome (reply: PeerReply | undefined, owner: string, onSettle: (settle: (isRecorded: boolean) => void) => void): GrantOutcome {
+function toOutcome (reply: PeerReply | undefined, owner: string, onRecordPending: (resolveRecorded: (isRecorded: boolean) => void) => void): GrantOutcome {
   if (reply === undefined || !isGrantReply(reply)) return { type: 'unavailable', detail: `${owner} did not answer` }
   if (reply.type !== 'granted') return reply
   const { chain, cached, isRecorded } = reply
-  const recorded = isRecorded ? undefined : new Promise<boolean>(resolve => onSettle(resolve))
+  const recorded = isRecorded ? undefined : new Promise<boolean>(resolve => onRecordPending(resolve))
   return { type: 'granted', chain, cached, recorded }
 }
 
