--- a/packages/node/src/node/routed/appendQueue.ts
+++ b/packages/node/src/node/routed/appendQueue.ts
@@ -105,7 +105,7 @@
     const unrecordedLazily = this._dequeueLazy().length
     this._batches = []
     for (const batch of batches) {
-      for (const resolve of batch.waiters) resolve('lost')
+      for (const notifyWaiter of batch.waiters) notifyWaiter('lost')
     }
     return { unrecordedBatches: batches.length, unrecordedLazily }
   }
@@ -172,7 +172,7 @@
     this._timeout.recordAnswer()
     this._inFlight = undefined
     this._inFlightSinceMs = undefined
-    for (const resolve of batch.waiters) resolve('recorded')
+    for (const notifyWaiter of batch.waiters) notifyWaiter('recorded')
     this._sendNext()
   }
 }
--- a/packages/node/src/node/routed/turnService.ts
+++ b/packages/node/src/node/routed/turnService.ts
@@ -223,7 +223,7 @@
   }
 }
 
-function toOutcome (reply: PeerReply | undefined, owner: string, onRecordPending: (resolveRecorded: (isRecorded: boolean) => void) => void): GrantOutcome {
+function toOutcome (reply: PeerReply | undefined, owner: string, onRecordPending: (resolvePending: (isRecorded: boolean) => void) => void): GrantOutcome {
   if (reply === undefined || !isGrantReply(reply)) return { type: 'unavailable', detail: `${owner} did not answer` }
   if (reply.type !== 'granted') return reply
   const { chain, cached, isRecorded } = reply
--- a/packages/node/test/node/routed/fakeLog.ts
+++ b/packages/node/test/node/routed/fakeLog.ts
@@ -1,19 +1,21 @@
-/** An `ILogClient` over the stand-in's state machine, with faults on request. */
+/** An `ILogClient` on the stand-in of the log, with faults that a test sets. */
 import { KeyedLog } from '@trefoilshunt/standins'
 import type { AppendRequest, AppendResult, ILogClient, JoinRequest, JoinResult, NewestRequest, NewestResult, ReadRequest, ReadResult } from '@trefoilshunt/node'
 
-const PAGE = 50
+const PAGE_RECORDS = 50
 
+/** Several clients may share one `KeyedLog`. Each answers after 1 ms unless a fault is set. */
 export class FakeLog implements ILogClient {
+  /** True while all calls fail at once, without an effect. */
   isDown = false
-  /** Appends that are carried out without an answer, from now on: their callers wait until their time-out. */
-  lostAnswers = 0
-  /** Joins and leaves that are lost on their way, from now on. */
+  /** Number of next appends that are executed without an answer, so that their callers wait for the time-out. */
+  lostAppendAnswers = 0
+  /** Number of next joins and leaves that are lost before they are executed. */
   lostJoins = 0
   lostLeaves = 0
-  /** Reads of pages that get no answer, from now on. */
+  /** Number of next reads of pages that get no answer. */
   lostPages = 0
-  /** Appends asked for so far, without those that failed. */
+  /** Number of appends that reached the log, including those whose answer was lost. */
   appendCount = 0
 
   constructor (readonly log = new KeyedLog({ partitionCount: 4, nowMs: () => performance.now() })) {}
@@ -23,8 +25,8 @@
     if (this.isDown) return { type: 'refused', detail: 'down' }
     this.appendCount++
     const answer = this.log.append(topic, partition, records, producer)
-    if (this.lostAnswers > 0) {
-      this.lostAnswers--
+    if (this.lostAppendAnswers > 0) {
+      this.lostAppendAnswers--
       await pause(timeoutMs)
       return { type: 'unknown', detail: 'lost' }
     }
@@ -57,7 +59,7 @@
       return { type: 'failed', detail: 'no answer' }
     }
     if (this.isDown) return { type: 'failed', detail: 'down' }
-    const { items, hasMore, end } = this.log.newest(topic, partition, afterKey, PAGE)
+    const { items, hasMore, end } = this.log.newest(topic, partition, afterKey, PAGE_RECORDS)
     return { type: 'page', records: items, hasMore, endOffset: end }
   }
 
--- a/packages/node/test/node/routed/searchLog.ts
+++ b/packages/node/test/node/routed/faultInjectingLog.ts
@@ -1,33 +1,35 @@
-/** A node's way to the log, with the troubles of the search: answers late or lost, calls refused or carried out later. */
+/** A node's client of the log that injects the faults of a random schedule: calls are refused, unanswered, lost or executed late. */
 import type { SeededRandom } from '@trefoilshunt/core'
 import type { KeyedLog } from '@trefoilshunt/standins'
 import type { AppendRequest, AppendResult, ILogClient, JoinRequest, JoinResult, NewestRequest, NewestResult, ReadResult } from '@trefoilshunt/node'
 import type { VirtualTime } from './virtualTime.js'
 
-const PAGE = 20
+const PAGE_RECORDS = 20
 const MAX_LATENCY_MS = 6
-const MAX_LATE_MS = 1_500
+const MAX_LATE_EXECUTION_MS = 1_500
 
-/** What is wrong with the log now; times are virtual. */
-export interface LogTrouble {
-  /** Nodes that get no answer until then. */
-  silentUntilMs: Map<string, number>
-  /** Nodes whose calls are refused until then. */
+/** The faults of the log, shared by the clients of all nodes. Times are virtual. */
+export interface LogFaults {
+  /** Until when the calls of a node are dropped without an answer. */
+  unresponsiveUntilMs: Map<string, number>
+  /** Until when the calls of a node are refused. */
   refusedUntilMs: Map<string, number>
+  /** Until when calls of any node may be lost, each with `lossProbability`. */
   lossyUntilMs: number
-  lossShare: number
+  lossProbability: number
 }
 
-export interface SearchLogOptions {
+export interface FaultInjectingLogOptions {
   node: string
   log: KeyedLog
   time: VirtualTime
   random: SeededRandom
-  trouble: LogTrouble
+  faults: LogFaults
 }
 
-export class SearchLog implements ILogClient {
-  constructor (private readonly _options: SearchLogOptions) {}
+/** Executes calls on the shared log after a random latency, unless a fault applies. */
+export class FaultInjectingLog implements ILogClient {
+  constructor (private readonly _options: FaultInjectingLogOptions) {}
 
   async append ({ topic, partition, records, producer, timeoutMs }: AppendRequest): Promise<AppendResult> {
     const answer = await this._call(timeoutMs, () => this._options.log.append(topic, partition, records, producer))
@@ -40,7 +42,7 @@
   }
 
   async readNewest ({ topic, partition, afterKey, timeoutMs }: NewestRequest): Promise<NewestResult> {
-    const answer = await this._call(timeoutMs, () => this._options.log.newest(topic, partition, afterKey, PAGE))
+    const answer = await this._call(timeoutMs, () => this._options.log.newest(topic, partition, afterKey, PAGE_RECORDS))
     return typeof answer === 'string' ? { type: 'failed', detail: answer } : { type: 'page', records: answer.items, hasMore: answer.hasMore, endOffset: answer.end }
   }
 
@@ -55,18 +57,18 @@
 
   async close (): Promise<void> {}
 
-  /** The answer, or 'refused' when nothing was done, or 'unknown' when that can't be told. */
-  private async _call<T> (timeoutMs: number, carryOut: () => T): Promise<T | 'refused' | 'unknown'> {
-    const { node, time, random, trouble } = this._options
+  /** The answer; 'refused' when the call was not executed; 'unknown' when it may have been executed, or may still be. */
+  private async _call<T> (timeoutMs: number, execute: () => T): Promise<T | 'refused' | 'unknown'> {
+    const { node, time, random, faults } = this._options
     const latencyMs = 1 + random.nextInt(MAX_LATENCY_MS)
     await pause(latencyMs)
-    if (time.nowMs < (trouble.refusedUntilMs.get(node) ?? 0)) return 'refused'
-    const isSilent = time.nowMs < (trouble.silentUntilMs.get(node) ?? 0)
-    const isLossy = time.nowMs < trouble.lossyUntilMs && random.next() < trouble.lossShare
-    if (!isSilent && !isLossy) return carryOut()
-    const fate = random.nextInt(3)
-    if (isLossy && fate === 0) carryOut()
-    if (isLossy && fate === 1) setTimeout(carryOut, random.nextInt(MAX_LATE_MS))
+    if (time.nowMs < (faults.refusedUntilMs.get(node) ?? 0)) return 'refused'
+    const isUnresponsive = time.nowMs < (faults.unresponsiveUntilMs.get(node) ?? 0)
+    const isLost = time.nowMs < faults.lossyUntilMs && random.next() < faults.lossProbability
+    if (!isUnresponsive && !isLost) return execute()
+    const outcome = random.nextInt(3)
+    if (isLost && outcome === 0) execute()
+    if (isLost && outcome === 1) setTimeout(execute, random.nextInt(MAX_LATE_EXECUTION_MS))
     await pause(Math.max(1, timeoutMs - latencyMs))
     return 'unknown'
   }
--- a/packages/node/test/node/routed/partitionHost.test.ts
+++ b/packages/node/test/node/routed/partitionHost.test.ts
@@ -1,3 +1,4 @@
+/** How partitions are assigned, recovered and handed over as members join, restart, crash or become isolated. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { SeededRandom } from '@trefoilshunt/core'
@@ -8,7 +9,7 @@
 const PARTITIONS = 4
 const TTL_MS = 400
 
-function createHost (log: FakeLog, member: string, hearsPeers: () => boolean = () => true, memberTtlMs = TTL_MS): PartitionHost {
+function createHost (log: FakeLog, member: string, hasPeers: () => boolean = () => true, memberTtlMs = TTL_MS): PartitionHost {
   return new PartitionHost({
     member,
     log,
@@ -17,7 +18,7 @@
     maxAppendBytes: 100_000,
     memberTtlMs,
     logSilenceMs: () => 0,
-    hearsPeers,
+    hearsPeers: hasPeers,
     random: new SeededRandom(member.length),
     onChanged: () => {},
     write: (event, fields) => { if (process.env.DBG !== undefined) console.log(Math.round(performance.now()), member, event, JSON.stringify(fields)) }
@@ -27,29 +28,29 @@
 async function waitFor (isTrue: () => boolean): Promise<void> {
   const endMs = performance.now() + 5_000
   while (!isTrue()) {
-    if (performance.now() > endMs) throw new Error('not in time')
+    if (performance.now() > endMs) throw new Error('the condition did not hold within 5 s')
     await new Promise<void>(resolve => { setTimeout(resolve, 5) })
   }
 }
 
-function servedBy (hosts: PartitionHost[]): number[] {
+function servedPartitions (hosts: PartitionHost[]): number[] {
   return hosts.flatMap(host => host.served.map(owner => owner.partition)).sort((left, right) => left - right)
 }
 
-test('partitions spread over the nodes, each with one owner, and move when a node leaves or dies', async () => {
+test('partitions are spread over the nodes, each with one owner, and move when a node leaves or crashes', async () => {
   const log = new FakeLog(new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() }))
   const hosts = ['a', 'bb', 'ccc'].map(member => createHost(log, member))
   for (const host of hosts) host.start()
-  await waitFor(() => servedBy(hosts).length === PARTITIONS && hosts.every(host => host.served.length > 0))
-  assert.equal(servedBy(hosts), [0, 1, 2, 3])
+  await waitFor(() => servedPartitions(hosts).length === PARTITIONS && hosts.every(host => host.served.length > 0))
+  assert.equal(servedPartitions(hosts), [0, 1, 2, 3])
   await hosts[0].stop(200)
-  await waitFor(() => servedBy(hosts.slice(1)).length === PARTITIONS)
+  await waitFor(() => servedPartitions(hosts.slice(1)).length === PARTITIONS)
   hosts[1].close()
   await waitFor(() => hosts[2].served.length === PARTITIONS)
   hosts[2].close()
 })
 
-test('a lost join or leave is repeated long before the membership runs out', async () => {
+test('a lost join or leave is repeated long before the membership expires', async () => {
   const log = new FakeLog(new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() }))
   const [first, second] = ['a', 'bb'].map(member => createHost(log, member, undefined, 4_000))
   log.lostJoins = 1
@@ -69,7 +70,7 @@
   assert.ok(handoverMs < 2_500, `the handover took ${Math.round(handoverMs)} ms`)
 })
 
-test('a node that restarts under its name has its partitions back without waiting for its old membership to lapse', async () => {
+test('a node that restarts under its name gets its partitions back before its old membership expires', async () => {
   const log = new FakeLog(new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() }))
   const first = createHost(log, 'a')
   first.start()
@@ -83,18 +84,18 @@
   second.close()
 })
 
-test('a node that the log turns away gives up what a peer serves under a higher epoch', async () => {
-  const state = new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() })
-  const reaching = new FakeLog(state)
-  const turnedAway = new FakeLog(state)
-  const first = createHost(turnedAway, 'a')
+test('a node whose calls the log refuses gives up the partitions that a peer serves under a higher epoch', async () => {
+  const keyedLog = new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() })
+  const connectedLog = new FakeLog(keyedLog)
+  const refusingLog = new FakeLog(keyedLog)
+  const first = createHost(refusingLog, 'a')
   first.start()
   await waitFor(() => first.served.length === PARTITIONS)
-  turnedAway.isDown = true
-  const second = createHost(reaching, 'bb')
+  refusingLog.isDown = true
+  const second = createHost(connectedLog, 'bb')
   second.start()
   await waitFor(() => second.served.length === PARTITIONS)
-  assert.is(first.served.length, PARTITIONS, 'it has heard nothing yet')
+  assert.is(first.served.length, PARTITIONS, 'it has not learned of the new owner yet')
   first.noteOwners(second.served.map(owner => [owner.partition, owner.epoch]))
   assert.is(first.served.length, 0)
   second.noteOwners([[0, 1]])
@@ -102,20 +103,20 @@
   for (const host of [first, second]) host.close()
 })
 
-test('a node that hears none of the other members hands its partitions to them', async () => {
+test('a node that receives nothing from the other members hands its partitions to them', async () => {
   const log = new FakeLog(new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() }))
-  let isCut = false
-  const hosts = [createHost(log, 'a', () => !isCut), createHost(log, 'bb'), createHost(log, 'ccc')]
+  let isIsolated = false
+  const hosts = [createHost(log, 'a', () => !isIsolated), createHost(log, 'bb'), createHost(log, 'ccc')]
   for (const host of hosts) host.start()
-  await waitFor(() => servedBy(hosts).length === PARTITIONS && hosts.every(host => host.served.length > 0))
-  isCut = true
-  await waitFor(() => hosts[0].served.length === 0 && servedBy(hosts.slice(1)).length === PARTITIONS)
-  isCut = false
+  await waitFor(() => servedPartitions(hosts).length === PARTITIONS && hosts.every(host => host.served.length > 0))
+  isIsolated = true
+  await waitFor(() => hosts[0].served.length === 0 && servedPartitions(hosts.slice(1)).length === PARTITIONS)
+  isIsolated = false
   await waitFor(() => hosts[0].served.length > 0)
   for (const host of hosts) host.close()
 })
 
-test('the last node left serves everything although it hears nobody', async () => {
+test('the only remaining node serves all partitions although it has no peers', async () => {
   const log = new FakeLog(new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() }))
   const host = createHost(log, 'a', () => false)
   host.start()
@@ -125,17 +126,17 @@
   host.close()
 })
 
-test('after all partitions are dealt anew at once, each is served again by its new owner', async () => {
+test('after all partitions are reassigned at once, each is served by its new owner', async () => {
   const log = new FakeLog(new KeyedLog({ partitionCount: PARTITIONS, nowMs: () => performance.now() }))
   const hosts = ['a', 'bb'].map(member => createHost(log, member))
   for (const host of hosts) host.start()
-  await waitFor(() => servedBy(hosts).length === PARTITIONS && hosts.every(host => host.served.length > 0))
+  await waitFor(() => servedPartitions(hosts).length === PARTITIONS && hosts.every(host => host.served.length > 0))
   for (let round = 0; round < 3; round++) {
     log.log.rebalance('turn-owners')
-    await waitFor(() => servedBy(hosts).length === PARTITIONS)
+    await waitFor(() => servedPartitions(hosts).length === PARTITIONS)
     await new Promise<void>(resolve => { setTimeout(resolve, 60) })
   }
-  await waitFor(() => servedBy(hosts).length === PARTITIONS)
+  await waitFor(() => servedPartitions(hosts).length === PARTITIONS)
   for (const host of hosts) host.close()
 })
 
--- a/packages/node/test/node/routed/partitionOwner.test.ts
+++ b/packages/node/test/node/routed/partitionOwner.test.ts
@@ -1,3 +1,4 @@
+/** Guarantees of a partition's owner while the log loses answers, is down, or gets a newer owner. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { type GrantRequest, type RetainedTurn, SeededRandom, type TurnEnd } from '@trefoilshunt/core'
@@ -39,7 +40,7 @@
   await new Promise<void>(resolve => { setTimeout(resolve, ms) })
 }
 
-test('the report of an end that is repeated while the log is down waits for the record like the first', async () => {
+test('a repeated report of an end waits, like the first one, until the turn is recorded', async () => {
   const log = new FakeLog()
   const owner = createOwner(log)
   await owner.recover()
@@ -49,7 +50,7 @@
   await wait(20)
   void owner.end(createEnd('a')).then(outcome => outcomes.push(outcome))
   await wait(60)
-  assert.equal(outcomes, [], 'nothing is told before the record is in the log')
+  assert.equal(outcomes, [], 'nothing is confirmed before the record is in the log')
   log.isDown = false
   await wait(300)
   assert.equal(outcomes, ['recorded', 'recorded'])
@@ -58,7 +59,7 @@
   assert.is(successor.chainOf('a')?.length, 1)
 })
 
-test('an end that is not recorded when the partition is lost is told as lost', async () => {
+test('an end that is not recorded when the partition is lost is reported as lost', async () => {
   const log = new FakeLog()
   const owner = createOwner(log)
   await owner.recover()
@@ -72,7 +73,7 @@
 test('a recovery whose first answers are lost serves within a second', async () => {
   const log = new FakeLog()
   const owner = createOwner(log)
-  log.lostAnswers = 1
+  log.lostAppendAnswers = 1
   log.lostPages = 1
   const startedMs = performance.now()
   await owner.recover()
@@ -80,11 +81,11 @@
   assert.ok(performance.now() - startedMs < 1_000, `took ${Math.round(performance.now() - startedMs)} ms`)
 })
 
-test('an append whose answer was lost is repeated and lands once', async () => {
+test('an append whose answer was lost is repeated and stored once', async () => {
   const log = new FakeLog()
   const owner = createOwner(log)
   await owner.recover()
-  log.lostAnswers = 2
+  log.lostAppendAnswers = 2
   assert.is(await owner.end(createEnd('a')), 'recorded')
   const records = log.log.read(TURN_TOPIC, 0, 0)?.records ?? []
   assert.is(records.filter(record => record.key.startsWith('t/a')).length, 1)
@@ -104,7 +105,7 @@
   assert.not.ok(await first.confirm())
 })
 
-test('a node that restarts within a generation takes a higher epoch than before', async () => {
+test('a node that restarts within a generation gets a higher epoch than before', async () => {
   const log = new FakeLog()
   const epochs: number[] = []
   for (let start = 0; start < 12; start++) {
@@ -119,7 +120,7 @@
   assert.ok(epochs.every(epoch => epoch < 2 * EPOCHS_PER_GENERATION))
 })
 
-test('while the log takes no records, no turn is granted that would have to be kept', async () => {
+test('while the log takes no records, no turn is granted that has to be recorded at its end', async () => {
   const log = new FakeLog()
   const owner = createOwner(log)
   await owner.recover()
@@ -127,14 +128,14 @@
   void owner.end({ ...createEnd('a'), programId: 'q' })
   await wait(500)
   assert.is(owner.grant(createGrant('b'), true).type, 'stalled')
-  assert.is(owner.grant(createGrant('c'), false).type, 'stalled', 'a program that nothing was recorded of has no tokens allowed')
+  assert.is(owner.grant(createGrant('c'), false).type, 'stalled', 'without a recorded account no tokens are allowed ahead')
   log.isDown = false
   await wait(300)
   assert.is(owner.grant(createGrant('b'), true).type, 'granted')
   owner.lose('end')
 })
 
-test('a program goes on within what was allowed ahead while the log is down', async () => {
+test('a program continues within the tokens allowed ahead while the log is down', async () => {
   const log = new FakeLog()
   const owner = createOwner(log)
   await owner.recover()
@@ -143,12 +144,12 @@
   log.isDown = true
   void owner.end({ ...createEnd('other'), programId: 'q' })
   await wait(500)
-  const ahead = owner.grant(createGrant('b'), false)
-  assert.ok(ahead.type === 'granted' && ahead.recorded === undefined)
+  const covered = owner.grant(createGrant('b'), false)
+  assert.ok(covered.type === 'granted' && covered.recorded === undefined)
   owner.lose('end')
 })
 
-test('turns that continue none are granted before the history is read, and no unread turn is denied', async () => {
+test('first turns are granted before the history is read, and no unread turn is reported as missing', async () => {
   const log = new FakeLog()
   const first = createOwner(log)
   await first.recover()
@@ -164,7 +165,7 @@
   assert.is(second.grant(createGrant('none', { previousTurnId: 'unheard-of' }), true).type, 'noSuchTurn')
 })
 
-test('an owner that is closed withdraws what it had allowed ahead', async () => {
+test('an owner that closes withdraws the tokens that it had allowed ahead', async () => {
   const log = new FakeLog()
   const first = createOwner(log)
   await first.recover()
@@ -177,17 +178,17 @@
   const second = createOwner(log, { generation: 2 })
   await second.recover()
   const granted = Array.from({ length: 12 }, (_, index) => second.grant(createGrant(`n${index}`), false).type).filter(type => type === 'granted')
-  assert.is(granted.length, 9, 'nine turns of 100 fit 1,000 tokens beside the 20 that were used')
+  assert.is(granted.length, 9, 'nine turns of 100 tokens fit in the budget of 1,000 beside the 20 used ones')
 })
 
-test('an older state of an account never follows a newer one into the log', async () => {
+test('an older state of an account is never appended after a newer one', async () => {
   const log = new FakeLog()
   const first = createOwner(log)
   await first.recover()
   const opened = first.grant(createGrant('a'), false)
   assert.ok(opened.type === 'granted' && await opened.recorded)
   for (const requestId of ['b', 'c', 'd', 'e']) first.grant(createGrant(requestId), false)
-  // One append is under way and one queued when the account is settled, and the next turn needs a record of its own.
+  // One append is in flight and one is queued when the account changes, and the next turn needs a record of its own.
   void first.end({ ...createEnd('x'), programId: 'q' })
   void first.end({ ...createEnd('y'), programId: 'q' })
   await first.end({ programId: 'p', requestId: 'b', usedTokens: 100, prompt: [] })
--- a/packages/node/test/node/routed/virtualTime.ts
+++ b/packages/node/test/node/routed/virtualTime.ts
@@ -1,11 +1,12 @@
-/** Timers and clocks of one process in virtual time, so that a run repeats exactly from its seed. */
+/** Replaces the timers and clocks of the process by virtual time, so that a run repeats exactly from its seed. */
 import { AsyncLocalStorage } from 'node:async_hooks'
 
 interface Timer {
   atMs: number
+  /** Order of creation, for timers that are due at the same time. */
   order: number
-  /** The node that set the timer; none for the rest of the world. */
-  owner: string | undefined
+  /** The node whose code set the timer; undefined for code of the test. */
+  node: string | undefined
   periodMs?: number
   run: () => void
 }
@@ -15,24 +16,27 @@
 const realSetImmediate = setImmediate
 
 /**
+ * Virtual time stands still while code runs and moves only in `advance`.
+ *
  * @example
  * await VirtualTime.run(async time => { await time.advance(1_000) })
  */
 export class VirtualTime {
+  /** Milliseconds since the start of the run. */
   nowMs = 0
   private readonly _timers = new Map<number, Timer>()
-  private readonly _owner = new AsyncLocalStorage<string>()
+  private readonly _currentNode = new AsyncLocalStorage<string>()
   private readonly _frozenUntilMs = new Map<string, number>()
   private _lastId = 0
 
-  /** Replaces the timers and clocks while `body` runs. */
+  /** Runs `body` with the global timers and clocks replaced. */
   static async run<T> (body: (time: VirtualTime) => Promise<T>): Promise<T> {
     const time = new VirtualTime()
     const { setTimeout, clearTimeout, setInterval, clearInterval } = globalThis
     const realDateNow = Date.now
-    const set = (isPeriodic: boolean) => (run: (...values: unknown[]) => void, delayMs = 0, ...values: unknown[]) => time._set(() => run(...values), delayMs, isPeriodic)
-    const clear = (handle: TimerHandle | undefined) => { if (handle !== undefined) time._timers.delete(Number(handle)) }
-    Object.assign(globalThis, { setTimeout: set(false), setInterval: set(true), clearTimeout: clear, clearInterval: clear })
+    const createSetTimer = (isPeriodic: boolean) => (run: (...values: unknown[]) => void, delayMs = 0, ...values: unknown[]) => time._addTimer(() => run(...values), delayMs, isPeriodic)
+    const clearTimer = (handle: TimerHandle | undefined) => { if (handle !== undefined) time._timers.delete(Number(handle)) }
+    Object.assign(globalThis, { setTimeout: createSetTimer(false), setInterval: createSetTimer(true), clearTimeout: clearTimer, clearInterval: clearTimer })
     Date.now = () => 1_700_000_000_000 + Math.floor(time.nowMs)
     Object.defineProperty(performance, 'now', { value: () => time.nowMs, configurable: true })
     try {
@@ -44,48 +48,49 @@
     }
   }
 
-  /** Runs `body` as a node's code: its timers stand still while the node is frozen. */
-  as<T> (owner: string, body: () => T): T {
-    return this._owner.run(owner, body)
+  /** Runs `body` as code of a node. Timers that it sets do not fire while the node is frozen. */
+  runAs<T> (node: string, body: () => T): T {
+    return this._currentNode.run(node, body)
   }
 
-  freeze (owner: string, forMs: number): void {
-    this._frozenUntilMs.set(owner, this.nowMs + forMs)
+  /** Suspends the timers of a node for a time, as a pause of its process would. */
+  freeze (node: string, forMs: number): void {
+    this._frozenUntilMs.set(node, this.nowMs + forMs)
   }
 
-  /** Time until a node goes on; 0 when it isn't frozen. */
-  frozenMs (owner: string): number {
-    return Math.max(0, (this._frozenUntilMs.get(owner) ?? 0) - this.nowMs)
+  /** Milliseconds until a frozen node continues; 0 when it isn't frozen. */
+  remainingFreezeMs (node: string): number {
+    return Math.max(0, (this._frozenUntilMs.get(node) ?? 0) - this.nowMs)
   }
 
-  /** Plays all timers of the next `forMs`. */
+  /** Moves the time by `forMs` and fires all timers that are due until then, in order. */
   async advance (forMs: number): Promise<void> {
     const endMs = this.nowMs + forMs
-    await settle()
+    await flushPromises()
     for (;;) {
-      const next = this._takeNext(endMs)
+      const next = this._dequeueNext(endMs)
       if (next === undefined) break
       next.run()
-      await settle()
+      await flushPromises()
     }
     this.nowMs = endMs
   }
 
-  private _set (run: () => void, delayMs: number, isPeriodic: boolean): TimerHandle {
+  private _addTimer (run: () => void, delayMs: number, isPeriodic: boolean): TimerHandle {
     const id = ++this._lastId
     const periodMs = isPeriodic ? Math.max(1, delayMs) : undefined
-    const owner = this._owner.getStore()
+    const node = this._currentNode.getStore()
     const runInContext = AsyncLocalStorage.bind(run)
-    this._timers.set(id, { atMs: this.nowMs + Math.max(1, delayMs), order: id, owner, periodMs, run: runInContext })
+    this._timers.set(id, { atMs: this.nowMs + Math.max(1, delayMs), order: id, node, periodMs, run: runInContext })
     const handle: TimerHandle = { id, unref: () => handle, ref: () => handle, [Symbol.toPrimitive]: () => id }
     return handle
   }
 
-  private _takeNext (endMs: number): Timer | undefined {
+  private _dequeueNext (endMs: number): Timer | undefined {
     let nextId: number | undefined
     let next: Timer | undefined
     for (const [id, timer] of this._timers) {
-      const frozenMs = timer.owner === undefined ? 0 : this.frozenMs(timer.owner)
+      const frozenMs = timer.node === undefined ? 0 : this.remainingFreezeMs(timer.node)
       if (frozenMs > 0) timer.atMs = Math.max(timer.atMs, this.nowMs + frozenMs)
       if (timer.atMs > endMs) continue
       if (next === undefined || timer.atMs < next.atMs || (timer.atMs === next.atMs && timer.order < next.order)) {
@@ -101,7 +106,7 @@
   }
 }
 
-/** Lets everything run that waits for promises alone. */
-async function settle (): Promise<void> {
+/** Runs all code that waits for nothing but resolved promises. */
+async function flushPromises (): Promise<void> {
   await new Promise<void>(resolve => { realSetImmediate(resolve) })
 }
