--- a/packages/node/src/node/routed/partitionOwner.ts
+++ b/packages/node/src/node/routed/partitionOwner.ts
@@ -116,14 +116,17 @@
     return this._isHistoryComplete
   }
 
+  /** Number of turns held in memory. */
   get turnCount (): number {
     return this._state.turnCount
   }
 
+  /** Size of the turns held in memory. */
   get turnBytes (): number {
     return this._state.turnBytes
   }
 
+  /** Number of programs with a token account. */
   get programCount (): number {
     return this._state.programCount
   }
--- a/packages/node/src/node/routed/topicFollower.ts
+++ b/packages/node/src/node/routed/topicFollower.ts
@@ -77,7 +77,7 @@
     void this._follow()
   }
 
-  /** Stops following; a read in progress has no effect any more. */
+  /** Stops following after the read in progress, which may still deliver records. */
   stop (): void {
     this._isStopped = true
   }
