--- a/packages/core/src/common/journal/index.ts
+++ b/packages/core/src/common/journal/index.ts
@@ -1,4 +1,4 @@
-export { IJournal, type IJournalEpoch, Journal, type JournalOutcome, type NewJournalRecord } from './journal.js'
+export { IJournal, type IJournalEpoch, Journal, type JournalAppendOutcome as JournalOutcome, type NewJournalRecord } from './journal.js'
 export * from './journalFold.js'
 export * from './journalReader.js'
 export * from './journalRecords.js'
--- a/packages/core/src/common/journal/journal.ts
+++ b/packages/core/src/common/journal/journal.ts
@@ -1,4 +1,4 @@
-/** The journal of this run of the daemon. */
+/** The journal of this run of the daemon: the log stream that records the programs which this node owns. */
 import { inject, injectable } from 'tsyringe'
 import { IClock } from '../kernel/clock.js'
 import { ILogger } from '../kernel/effectQueue.js'
@@ -15,61 +15,69 @@
 import { type PendingAppend, StreamWriter } from './streamWriter.js'
 
 type WithoutId<T> = T extends unknown ? Omit<T, 'id'> : never
-/** A record that has no id yet. */
+/** A journal record to append; `append` assigns its id. */
 export type NewJournalRecord = WithoutId<JournalRecord>
 
-/** Fate of a journal record. `fenced`: another node took the journal over before the record landed. */
-export type JournalOutcome = { type: 'landed', offset: number } | { type: 'fenced' }
+/**
+ * Outcome of an append to the journal.
+ * `landed`: the record is in the stream at `offset`, before any fence.
+ * `fenced`: the journal was fenced before the record was known to be in the stream.
+ */
+export type JournalAppendOutcome = { type: 'landed', offset: number } | { type: 'fenced' }
 
-/** One stream of journal records: from a start of the daemon, or from a fence, to the next fence. */
+/** One journal stream: it begins at a start of the daemon or after a fence and ends at the next fence. */
 export interface IJournalEpoch {
+  /** Name of the log stream. */
   readonly stream: string
   /** The run of the daemon that writes the stream. */
   readonly writer: NodeRef
+  /** True once a fence was read, or once records were removed from the log before this node read them. */
   readonly isFenced: boolean
-  /** The node that fenced the stream. */
+  /** The node that fenced the stream; undefined while there is no fence, or when records were removed unread. */
   readonly fencedBy: NodeRef | undefined
-  /** Appends a record; `onSettled` is called once the record is in the log, however long that takes. */
-  append (record: NewJournalRecord, onSettled: (outcome: JournalOutcome) => void): PendingAppend
-  /** Looks for a fence without appending; `onDone` gets false when the log did not answer. */
+  /** Appends a record; `onOutcome` is called once the record is in the log, with no time limit, and never after a cancellation. */
+  append (record: NewJournalRecord, onOutcome: (outcome: JournalAppendOutcome) => void): PendingAppend
+  /** Reads the rest of the stream to find a fence; `onDone` gets false when a read failed or another request of the writer is in progress. */
   checkFence (onDone: (isComplete: boolean) => void): void
 }
 
-/** Records what the homes of this node decide, in one order, and learns when another node has taken over. */
+/** Appends the decisions of this node about its programs in one order, and detects that another node has fenced the journal. */
 export interface IJournal {
-  /** The stream for programs that are opened or adopted from now on. */
+  /** The stream for programs that this node opens or takes over from now on. */
   readonly current: IJournalEpoch
-  /** Fires when a foreign fence is met; `current` is a new stream by then. */
+  /** Fires with the stream that has become fenced; `current` is already a new stream. */
   readonly onDidFence: Event<IJournalEpoch>
-  /** False while appends fail. */
+  /** False while appends to the current stream fail. */
   readonly isHealthy: boolean
+  /** Fires with the new value of `isHealthy` when appends to the current stream begin to fail or succeed again. */
   readonly onDidChangeHealth: Event<boolean>
-  /** Records that have not landed yet. */
+  /** Number of records of the current stream that are not in the log yet. */
   readonly backlog: number
+  /** Number of append requests sent to all streams of this run. */
   readonly appendCount: number
 }
 export const IJournal = Symbol('IJournal')
 
-interface EpochOptions {
+interface JournalEpochOptions {
   writer: NodeRef
-  createStreamWriter: (stream: string, onForeign: (stored: StoredRecord) => void, onTruncated: () => void) => StreamWriter
+  createStreamWriter: (stream: string, onForeignRecord: (stored: StoredRecord) => void, onTruncated: () => void) => StreamWriter
   onFenced: (epoch: JournalEpoch) => void
 }
 
-/** One epoch of the own journal; only `Journal` creates it. */
+/** One epoch of this node's own journal; only `Journal` creates it. */
 export class JournalEpoch extends Disposable implements IJournalEpoch {
-  private readonly _options: EpochOptions
-  private _lastRecord = 0
+  private readonly _options: JournalEpochOptions
+  private _lastRecordNumber = 0
   private _fence: { by: NodeRef | undefined } | undefined
 
   readonly stream: string
   readonly streamWriter: StreamWriter
 
-  constructor (options: EpochOptions) {
+  constructor (options: JournalEpochOptions) {
     super()
     this._options = options
     this.stream = journalOf(options.writer)
-    this.streamWriter = this._register(options.createStreamWriter(this.stream, stored => this._handleForeign(stored), () => this._setFenced(undefined)))
+    this.streamWriter = this._register(options.createStreamWriter(this.stream, stored => this._handleForeignRecord(stored), () => this._setFenced(undefined)))
   }
 
   get writer (): NodeRef {
@@ -84,10 +92,10 @@
     return this._fence?.by
   }
 
-  append (record: NewJournalRecord, onSettled: (outcome: JournalOutcome) => void): PendingAppend {
-    const id = `${this.stream}/${++this._lastRecord}`
+  append (record: NewJournalRecord, onOutcome: (outcome: JournalAppendOutcome) => void): PendingAppend {
+    const id = `${this.stream}/${++this._lastRecordNumber}`
     return this.streamWriter.append({ ...record, id }, offset => {
-      onSettled(this._fence === undefined ? { type: 'landed', offset } : { type: 'fenced' })
+      onOutcome(this._fence === undefined ? { type: 'landed', offset } : { type: 'fenced' })
     })
   }
 
@@ -95,7 +103,7 @@
     this.streamWriter.catchUp(onDone)
   }
 
-  private _handleForeign (stored: StoredRecord): void {
+  private _handleForeignRecord (stored: StoredRecord): void {
     if (isJournalRecord(stored.record) && stored.record.type === 'fenced') this._setFenced(stored.record.by)
   }
 
@@ -111,9 +119,9 @@
   private readonly _didFence = this._register(new Emitter<IJournalEpoch>())
   private readonly _didChangeHealth = this._register(new Emitter<boolean>())
   private readonly _firstIncarnation: string
-  private _epochCount = 0
+  private _fenceCount = 0
   private _current: JournalEpoch
-  private _earlierAppends = 0
+  private _earlierAppendCount = 0
 
   readonly onDidFence = this._didFence.event
   readonly onDidChangeHealth = this._didChangeHealth.event
@@ -145,7 +153,7 @@
   }
 
   get appendCount (): number {
-    return this._earlierAppends + this._current.streamWriter.appendCount
+    return this._earlierAppendCount + this._current.streamWriter.appendCount
   }
 
   private _createEpoch (): JournalEpoch {
@@ -176,12 +184,12 @@
     })
   }
 
-  /** A fenced node goes on under a new incarnation, with a new journal and without its old programs. */
+  /** Continues under a new incarnation with a new, empty journal; the programs of the fenced journal are no longer owned here. */
   private _handleFenced (epoch: JournalEpoch): void {
     this._logger.warn('journalFenced', { journal: epoch.stream, by: epoch.fencedBy?.node })
-    this._epochCount++
-    this._earlierAppends += epoch.streamWriter.appendCount
-    this._identity.incarnation = `${this._firstIncarnation}e${String(this._epochCount).padStart(3, '0')}`
+    this._fenceCount++
+    this._earlierAppendCount += epoch.streamWriter.appendCount
+    this._identity.incarnation = `${this._firstIncarnation}e${String(this._fenceCount).padStart(3, '0')}`
     this._current = this._createEpoch()
     this._didFence.fire(epoch)
   }
--- a/packages/core/src/common/journal/journalFold.ts
+++ b/packages/core/src/common/journal/journalFold.ts
@@ -1,4 +1,4 @@
-/** The deterministic fold of a journal: which programs it holds, in which state, and who may go on with them. */
+/** The deterministic fold of a journal: which programs it holds, in which state, and which node owns them next. */
 import type { LogRecord, StoredRecord } from '../kernel/logRecords.js'
 import type { NodeRef } from '../kernel/node.js'
 import { addTurn, type ProgramState, setCachedWorker } from '../programs/programState.js'
@@ -6,16 +6,18 @@
 
 /** State folded from one journal. */
 export interface JournalState {
+  /** Offset of the next record to fold. */
   nextOffset: number
   programs: Map<string, ProgramState>
-  /** Journal that each adopted program came from. */
+  /** Name of the journal that each program taken over was in before, by program id. */
   adoptedFrom: Map<string, string>
+  /** The first fence. */
   fence?: { offset: number, by: NodeRef }
-  /** New homes that this journal names; the first record for a program counts. */
+  /** New owners that this journal names, by program id; the first record for a program counts. */
   adoptions: Map<string, NodeRef>
-  /** Ids of the records folded so far: a record that landed twice counts once. */
+  /** Ids of the records folded so far: a record that was appended twice counts once. */
   ids: Set<string>
-  /** Offset of the oldest record that could be read. */
+  /** Offset at which reading went on after older records had been removed; 0 when none had been. */
   firstOffset: number
 }
 
@@ -24,7 +26,7 @@
   return { nextOffset: 0, programs: new Map(), adoptedFrom: new Map(), adoptions: new Map(), ids: new Set(), firstOffset: 0 }
 }
 
-/** Adds one record to the state, in place. Records of unknown shape are skipped. */
+/** Applies one record to the state, in place. Records of an unknown type change no program; the fields are not checked, see `foldIfValid`. */
 export function foldJournalRecord (state: JournalState, stored: StoredRecord<LogRecord>): void {
   if (stored.offset < state.nextOffset) return
   state.nextOffset = stored.offset + 1
@@ -36,29 +38,29 @@
       state.fence ??= { offset: stored.offset, by: record.by }
       return
     case 'adopted':
-      foldAdoption(state, record.programIds, record.to)
+      foldOwnershipTransfer(state, record.programIds, record.to)
       return
     case 'turnCompleted':
       foldTurn(state, record)
       return
   }
   if (state.fence !== undefined) return
-  foldOwnRecord(state, record)
+  foldWriterRecord(state, record)
 }
 
-/** A program may be adopted behind the fence, by the node that fenced or by a later one: the first record wins. */
-function foldAdoption (state: JournalState, programIds: string[], to: NodeRef): void {
+/** The ownership of a program may also be transferred after the fence, by the node that fenced or by a later one: the first record counts. */
+function foldOwnershipTransfer (state: JournalState, programIds: string[], to: NodeRef): void {
   for (const programId of programIds) {
     if (!state.adoptions.has(programId)) state.adoptions.set(programId, to)
   }
 }
 
-/** Behind the fence a turn counts only as the result of a claim made before the fence. */
+/** After the fence a turn counts only as the result of an intent recorded before the fence. */
 function foldTurn (state: JournalState, record: Extract<JournalRecord, { type: 'turnCompleted' }>): void {
   const program = state.programs.get(record.programId)
   if (program === undefined || record.step !== program.turns.length + 1) return
-  const isClaimResult = program.openClaim?.step === record.step && program.openClaim.key === record.key
-  if (state.fence !== undefined && !isClaimResult) return
+  const isIntentResult = program.openClaim?.step === record.step && program.openClaim.key === record.key
+  if (state.fence !== undefined && !isIntentResult) return
   addTurn(program, record)
   program.reservedTokens = record.reservedTokens
   if (record.ranOn !== undefined) setCachedWorker(program, record.ranOn.model, record.ranOn.worker)
@@ -68,7 +70,8 @@
   if (record.call.type === 'service') root.spent.toolCalls++
 }
 
-function foldOwnRecord (state: JournalState, record: JournalRecord): void {
+/** Applies a record that counts only before the fence. */
+function foldWriterRecord (state: JournalState, record: JournalRecord): void {
   switch (record.type) {
     case 'programSnapshot':
       state.programs.set(record.program.programId, cloneProgram(record.program))
@@ -82,8 +85,8 @@
     }
     case 'claimWithdrawn': {
       const program = state.programs.get(record.programId)
-      const claim = program?.openClaim
-      if (program !== undefined && claim?.step === record.step && claim.attempt <= record.attempt) program.openClaim = undefined
+      const intent = program?.openClaim
+      if (program !== undefined && intent?.step === record.step && intent.attempt <= record.attempt) program.openClaim = undefined
       return
     }
     case 'tokensReserved': {
@@ -98,7 +101,7 @@
   }
 }
 
-/** A copy that shares no mutable part with the original. */
+/** Copies a program's state; the copy shares no part with the original that is changed in place. */
 export function cloneProgram (program: ProgramState): ProgramState {
   return {
     ...program,
--- a/packages/core/src/common/journal/journalReader.ts
+++ b/packages/core/src/common/journal/journalReader.ts
@@ -1,4 +1,4 @@
-/** Reads the journals of other runs of the daemon. */
+/** Reads and folds the journals of other runs of the daemon. */
 import { inject, injectable } from 'tsyringe'
 import { ILogger } from '../kernel/effectQueue.js'
 import { ILogService } from '../kernel/logPort.js'
@@ -7,12 +7,12 @@
 import { createJournalState, foldJournalRecord, type JournalState } from './journalFold.js'
 import { isJournalRecord } from './journalSchema.js'
 
-/** Records folded between two other events, so that the takeover of a long journal does not hold up tokens. */
+/** Records of one read; other events are handled between two reads, so a long journal does not delay streamed tokens. */
 const READ_PAGE_RECORDS = 100
 
-/** Reads whole journals. */
+/** Reads and folds whole journals. */
 export interface IJournalReader {
-  /** Folds a journal from its start, or goes on from `state`; gets undefined when the log did not answer. */
+  /** Folds a journal from its start, or continues `state` in place; `onRead` gets undefined when a read failed. Skips damaged records. */
   readJournal (stream: string, onRead: (state: JournalState | undefined) => void, state?: JournalState): void
 }
 export const IJournalReader = Symbol('IJournalReader')
@@ -35,7 +35,7 @@
         state.firstOffset = outcome.firstOffset
       }
       for (const stored of outcome.records) {
-        const isFolded = foldIfWhole(state, stored)
+        const isFolded = foldIfValid(state, stored)
         if (!isFolded) this._logger.warn('journalRecordSkipped', { journal: stream, offset: stored.offset })
       }
       if (outcome.records.length > 0 && state.nextOffset < outcome.endOffset) this.readJournal(stream, onRead, state)
@@ -45,11 +45,11 @@
 }
 
 /**
- * Folds a record unless it is damaged: one bad entry must not stop a takeover.
+ * Folds a record unless it is damaged: one damaged record must not stop a takeover.
  *
  * @returns false when the record was skipped.
  */
-export function foldIfWhole (state: JournalState, stored: StoredRecord): boolean {
+export function foldIfValid (state: JournalState, stored: StoredRecord): boolean {
   if (!isJournalRecord(stored.record)) {
     state.nextOffset = Math.max(state.nextOffset, stored.offset + 1)
     return false
@@ -58,7 +58,7 @@
   return true
 }
 
-/** The node that a journal names as a program's new home, if it names one. */
+/** The node that a journal names as a program's new owner; undefined when it names none. */
 export function newOwnerOf (state: JournalState, programId: string): NodeRef | undefined {
   return state.adoptions.get(programId)
 }
--- a/packages/core/src/common/journal/journalRecords.ts
+++ b/packages/core/src/common/journal/journalRecords.ts
@@ -4,16 +4,19 @@
 import type { NodeRef } from '../kernel/node.js'
 import type { ProgramState } from '../programs/programState.js'
 
-/** Name of the stream in which a run of the daemon records its programs. */
+/** Name of the journal stream of a run of the daemon. */
 export function journalOf (node: { node: string, incarnation: string }): string {
   return `journal/${node.node}/${node.incarnation}`
 }
 
-/** A program with its whole state: opened here, adopted, or published again before its records expire. */
+/**
+ * The whole state of a program. It is recorded when the program is opened, taken over, handed over or restored from the
+ * caller's history, and again before its records expire.
+ */
 export interface ProgramSnapshot extends LogRecord {
   type: 'programSnapshot'
   program: ProgramState
-  /** Journal that must name this node in an `adopted` record before the snapshot counts. */
+  /** Journal that must name the writer of the snapshot in an `adopted` record before the snapshot counts. */
   adoptedFrom?: string
 }
 
@@ -26,15 +29,15 @@
   call: StepCall
   callDigest: string
   result: StepResult
-  /** Tokens that the step took from the budget, retries included. */
+  /** Tokens charged to the budget with this turn: those of the step and its retries, and those of cancelled steps before it. */
   spentTokens: number
-  /** Tokens set aside for the next step; they count as spent after a takeover. */
+  /** Tokens reserved for the next step; a takeover counts them as spent. */
   reservedTokens: number
   /** Model and worker that ran the step; absent for service calls. */
   ranOn?: { model: string, worker: string }
 }
 
-/** Announces that a non-repeatable step will be sent. */
+/** Write-ahead record of a non-repeatable call: the call is sent only after this record is in the journal. */
 export interface StepIntent extends LogRecord {
   type: 'stepClaimed'
   programId: string
@@ -42,16 +45,21 @@
   key: string
   call: StepCall
   callDigest: string
+  /** Time of the attempt in milliseconds, which orders the attempts of a step. */
   attempt: number
 }
 
-/** The claim was given up before anything was sent. */
+/** Withdraws the intents of a step up to `attempt`: the call was given up before it was sent, or was answered as not run. */
 export interface IntentWithdrawn extends LogRecord { type: 'claimWithdrawn', programId: string, step: number, attempt: number }
+/** Raises the tokens reserved for the next step of a program to at least `tokens`. */
 export interface TokensReserved extends LogRecord { type: 'tokensReserved', programId: string, tokens: number }
 export interface ProgramClosed extends LogRecord { type: 'programClosed', programId: string, reason: string }
-/** Ends the journal's authority: claims, turns and adoptions behind the first fence are void. */
+/**
+ * Ends the journal. Records after the first fence are ignored, with two exceptions: ownership transfers, and turns that
+ * are the result of an intent recorded before the fence.
+ */
 export interface Fenced extends LogRecord { type: 'fenced', by: NodeRef }
-/** Names the new home of programs; the first record for a program counts. */
+/** Names the new owner of programs; the first record for a program counts, before or after a fence. */
 export interface OwnershipTransferred extends LogRecord { type: 'adopted', programIds: string[], to: NodeRef }
 
 export type JournalRecord = ProgramSnapshot | TurnCompleted | StepIntent | IntentWithdrawn | TokensReserved | ProgramClosed | Fenced | OwnershipTransferred
--- a/packages/core/src/common/journal/journalSchema.ts
+++ b/packages/core/src/common/journal/journalSchema.ts
@@ -1,4 +1,4 @@
-/** Checks records read from journals: a damaged one is skipped, never folded. */
+/** Validates records read from journals. */
 import { z } from 'zod'
 import type { LogRecord } from '../kernel/logRecords.js'
 import type { JournalRecord } from './journalRecords.js'
@@ -29,25 +29,25 @@
   reservedTokens: z.number(),
   workers: z.array(z.object({ model: z.string(), worker: z.string() }))
 })
-const base = { id: z.string() }
-const step = { programId: z.string(), step: z.int().positive() }
+const recordFields = { id: z.string() }
+const stepFields = { programId: z.string(), step: z.int().positive() }
 
 const journalRecordSchema = z.discriminatedUnion('type', [
-  z.looseObject({ ...base, type: z.literal('programSnapshot'), program }),
-  z.looseObject({ ...base, ...step, type: z.literal('turnCompleted'), key: z.string(), call, callDigest: z.string(), result, spentTokens: z.number(), reservedTokens: z.number() }),
-  z.looseObject({ ...base, ...step, type: z.literal('stepClaimed'), key: z.string(), call, callDigest: z.string(), attempt: z.number() }),
-  z.looseObject({ ...base, ...step, type: z.literal('claimWithdrawn'), attempt: z.number() }),
-  z.looseObject({ ...base, type: z.literal('tokensReserved'), programId: z.string(), tokens: z.number() }),
-  z.looseObject({ ...base, type: z.literal('programClosed'), programId: z.string(), reason: z.string() }),
-  z.looseObject({ ...base, type: z.literal('fenced'), by: nodeRef }),
-  z.looseObject({ ...base, type: z.literal('adopted'), programIds: z.array(z.string()), to: nodeRef })
+  z.looseObject({ ...recordFields, type: z.literal('programSnapshot'), program }),
+  z.looseObject({ ...recordFields, ...stepFields, type: z.literal('turnCompleted'), key: z.string(), call, callDigest: z.string(), result, spentTokens: z.number(), reservedTokens: z.number() }),
+  z.looseObject({ ...recordFields, ...stepFields, type: z.literal('stepClaimed'), key: z.string(), call, callDigest: z.string(), attempt: z.number() }),
+  z.looseObject({ ...recordFields, ...stepFields, type: z.literal('claimWithdrawn'), attempt: z.number() }),
+  z.looseObject({ ...recordFields, type: z.literal('tokensReserved'), programId: z.string(), tokens: z.number() }),
+  z.looseObject({ ...recordFields, type: z.literal('programClosed'), programId: z.string(), reason: z.string() }),
+  z.looseObject({ ...recordFields, type: z.literal('fenced'), by: nodeRef }),
+  z.looseObject({ ...recordFields, type: z.literal('adopted'), programIds: z.array(z.string()), to: nodeRef })
 ])
 
 /**
- * True for a whole record of a known type.
+ * True for a record of a known type that has all required fields.
  *
  * @example
- * isJournalRecord({ id: 'x', type: 'fenced' }) // false: it does not say by whom
+ * isJournalRecord({ id: 'x', type: 'fenced' }) // false: `by` is missing
  */
 export function isJournalRecord (record: unknown): record is JournalRecord & LogRecord {
   return journalRecordSchema.safeParse(record).success
--- a/packages/core/src/common/journal/streamWriter.ts
+++ b/packages/core/src/common/journal/streamWriter.ts
@@ -1,4 +1,4 @@
-/** Group commit to one log stream, with ambiguous appends resolved by reading. */
+/** Group commit to one log stream; reads the stream back when the outcome of an append is ambiguous. */
 import type { IClock } from '../kernel/clock.js'
 import { Emitter } from '../kernel/emitter.js'
 import type { AppendOutcome, LogRecord, ReadOutcome, StoredRecord } from '../kernel/logRecords.js'
@@ -8,6 +8,7 @@
 import { TokenBucket } from '../base/tokenBucket.js'
 
 const READ_PAGE_RECORDS = 500
+/** Append requests that may be sent at once after a pause. */
 const APPEND_BURST = 2
 const MAX_RETRY_MS = 2_000
 
@@ -19,31 +20,38 @@
   /** Appends per second that this writer may send. */
   ratePerSecond: () => number
   maxBatchRecords: number
+  /** Wait after the first failed append; it grows by the same time with each further failure in a row, up to a limit. */
   retryMs: number
-  /** Gets every record of another writer, before any own record behind it is reported as landed. */
+  /**
+   * Receives every record read that is not part of the batch being appended, before any own record after it is reported
+   * as appended. These are records of other writers, and duplicates of own ones.
+   */
   onForeignRecord: (stored: StoredRecord) => void
-  /** Records were removed before this writer could read them. */
+  /** Called when records were removed from the log before this writer could read them. */
   onTruncated: () => void
 }
 
-/** A record on its way into the log. */
+/** A record that is queued or being appended. */
 export interface PendingAppend {
   /**
-   * Gives the record up: `onLanded` will not be called.
+   * Cancels the append: its callback will not be called.
    *
-   * @returns true when the record certainly never reaches the log.
+   * @returns true when the record will certainly not be appended; false when it may be in the log.
    */
   cancel (): boolean
 }
 
 interface QueuedRecord {
   record: LogRecord
-  onLanded: (offset: number) => void
+  onAppended: (offset: number) => void
   isCancelled: boolean
   wasSent: boolean
 }
 
-/** Appends records in order and in batches; retries until they have landed. The only regular writer of its stream. */
+/**
+ * Appends records in order and in batches, and retries until they are in the log. It is the only regular writer of its
+ * stream: other nodes append only fences and ownership transfers.
+ */
 export class StreamWriter extends Disposable {
   private readonly _didChangeHealth = this._register(new Emitter<boolean>())
   private readonly _bucket: TokenBucket
@@ -51,7 +59,7 @@
   private _batch: QueuedRecord[] = []
   private _isBusy = false
   private _timer: IDisposable | undefined
-  private _failuresInRow = 0
+  private _consecutiveFailures = 0
   private _nextOffset = 0
   private _appendCount = 0
 
@@ -64,26 +72,27 @@
   }
 
   get isHealthy (): boolean {
-    return this._failuresInRow === 0
+    return this._consecutiveFailures === 0
   }
 
-  /** Records that have not landed yet. */
+  /** Number of records that are not in the log yet. */
   get backlog (): number {
     return this._queue.length + this._batch.length
   }
 
-  /** Append requests sent so far. */
+  /** Number of append requests sent so far. */
   get appendCount (): number {
     return this._appendCount
   }
 
-  /** Offset behind the last record that is known to be in the stream. */
+  /** Offset after the last record that this writer has appended or read. */
   get nextOffset (): number {
     return this._nextOffset
   }
 
-  append (record: LogRecord, onLanded: (offset: number) => void): PendingAppend {
-    const queued: QueuedRecord = { record, onLanded, isCancelled: false, wasSent: false }
+  /** Queues a record; `onAppended` gets its offset once it is in the log, with no time limit. */
+  append (record: LogRecord, onAppended: (offset: number) => void): PendingAppend {
+    const queued: QueuedRecord = { record, onAppended, isCancelled: false, wasSent: false }
     this._queue.push(queued)
     this._flush()
     return {
@@ -94,7 +103,7 @@
     }
   }
 
-  /** Reads records of other writers that this one has not met yet; `onDone` gets false when the log did not answer. */
+  /** Reads the records that this writer has not read yet; `onDone` gets false when a read failed or another request is in progress. */
   catchUp (onDone: (isComplete: boolean) => void): void {
     if (this._isBusy) {
       onDone(false)
@@ -139,59 +148,59 @@
 
   private _handleOutcome (outcome: AppendOutcome): void {
     if (outcome.type === 'failed') {
-      this._retryLater()
+      this._scheduleRetry()
       return
     }
     const isContiguous = outcome.type === 'appended' && outcome.firstOffset === this._nextOffset
     if (isContiguous) {
-      this._settleContiguous()
+      this._completeBatch()
       return
     }
-    this._readTail(isComplete => isComplete ? this._finishBatch() : this._retryLater())
+    this._readTail(isComplete => isComplete ? this._requeueMissing() : this._scheduleRetry())
   }
 
-  private _settleContiguous (): void {
+  private _completeBatch (): void {
     const batch = this._batch
     this._batch = []
     const firstOffset = this._nextOffset
     this._nextOffset += batch.length
-    this._noteSuccess()
-    batch.forEach((queued, index) => this._settle(queued, firstOffset + index))
+    this._recordSuccess()
+    batch.forEach((queued, index) => this._completeRecord(queued, firstOffset + index))
     this._isBusy = false
     this._flush()
   }
 
-  /** After a complete read: what was not found goes to the head of the queue again. */
-  private _finishBatch (): void {
+  /** Puts the records that a complete read did not find back at the head of the queue. */
+  private _requeueMissing (): void {
     this._queue = [...this._batch, ...this._queue]
     this._batch = []
-    this._noteSuccess()
+    this._recordSuccess()
     this._isBusy = false
     this._flush()
   }
 
-  private _retryLater (): void {
+  private _scheduleRetry (): void {
     this._queue = [...this._batch, ...this._queue]
     this._batch = []
     this._isBusy = false
-    this._failuresInRow++
-    if (this._failuresInRow === 1) this._didChangeHealth.fire(false)
-    const delayMs = Math.min(MAX_RETRY_MS, this._options.retryMs * this._failuresInRow)
+    this._consecutiveFailures++
+    if (this._consecutiveFailures === 1) this._didChangeHealth.fire(false)
+    const delayMs = Math.min(MAX_RETRY_MS, this._options.retryMs * this._consecutiveFailures)
     this._timer?.dispose()
     this._timer = this._options.timers.after(delayMs, () => this._resume())
   }
 
-  private _noteSuccess (): void {
+  private _recordSuccess (): void {
     const wasHealthy = this.isHealthy
-    this._failuresInRow = 0
+    this._consecutiveFailures = 0
     if (!wasHealthy) this._didChangeHealth.fire(true)
   }
 
   private _readTail (onDone: (isComplete: boolean) => void): void {
-    this._options.log.read(this._options.stream, this._nextOffset, READ_PAGE_RECORDS, outcome => this._handleTail(outcome, onDone))
+    this._options.log.read(this._options.stream, this._nextOffset, READ_PAGE_RECORDS, outcome => this._handleTailRead(outcome, onDone))
   }
 
-  private _handleTail (outcome: ReadOutcome, onDone: (isComplete: boolean) => void): void {
+  private _handleTailRead (outcome: ReadOutcome, onDone: (isComplete: boolean) => void): void {
     if (outcome.type === 'failed') {
       onDone(false)
       return
@@ -200,25 +209,25 @@
       this._nextOffset = outcome.firstOffset
       this._options.onTruncated()
     }
-    for (const stored of outcome.records) this._handleStored(stored)
+    for (const stored of outcome.records) this._handleStoredRecord(stored)
     if (this._nextOffset < outcome.endOffset && outcome.records.length > 0) this._readTail(onDone)
     else onDone(true)
   }
 
-  private _handleStored (stored: StoredRecord): void {
+  private _handleStoredRecord (stored: StoredRecord): void {
     if (stored.offset < this._nextOffset) return
     this._nextOffset = stored.offset + 1
     const index = this._batch.findIndex(queued => queued.record.id === (stored.record as Partial<LogRecord> | null)?.id)
     if (index >= 0) {
       const [queued] = this._batch.splice(index, 1)
-      this._settle(queued, stored.offset)
+      this._completeRecord(queued, stored.offset)
       return
     }
     this._options.onForeignRecord(stored)
   }
 
-  private _settle (queued: QueuedRecord, offset: number): void {
-    if (!queued.isCancelled) queued.onLanded(offset)
+  private _completeRecord (queued: QueuedRecord, offset: number): void {
+    if (!queued.isCancelled) queued.onAppended(offset)
   }
 
   override dispose (): void {
