--- a/packages/core/src/common/drain/drain.contribution.ts
+++ b/packages/core/src/common/drain/drain.contribution.ts
@@ -1,3 +1,4 @@
+/** Registers the planned stop and the receiver of handed over programs. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { Drain, IDrain } from './drain.js'
 import { HandoverReceiver } from './handoverReceiver.js'
--- a/packages/core/src/common/drain/handoverReceiver.ts
+++ b/packages/core/src/common/drain/handoverReceiver.ts
@@ -1,4 +1,4 @@
-/** Takes programs that a stopping node hands over. */
+/** Receives the programs that a draining node hands over. */
 import { inject, injectable } from 'tsyringe'
 import { IClock } from '../kernel/clock.js'
 import { ILogger } from '../kernel/effectQueue.js'
@@ -12,17 +12,19 @@
 import type { ProgramState } from '../programs/programState.js'
 import { IProgramTable } from '../programs/programTable.js'
 
-const CHECK_MS = 1_000
+const CHECK_PERIOD_MS = 1_000
 const MAX_CHECKS = 60
 
 interface PendingHandover {
+  /** Journal of the draining node. */
   journal: string
+  /** Own journal stream that holds the snapshots of the programs. */
   epoch: IJournalEpoch
   programs: ProgramState[]
-  checks: number
+  checkCount: number
 }
 
-/** Records offered programs, and serves them once the old journal names this node. */
+/** Records offered programs in the own journal, and serves them once the former owner's journal names this node. */
 @injectable()
 export class HandoverReceiver {
   private readonly _pending = new Set<PendingHandover>()
@@ -47,50 +49,53 @@
       this._accept(body.journal, body.programs, programIds => respond({ type: 'handoverAnswer', acceptedProgramIds: programIds }))
     })
     this._peers.handle('handoverDone', (body, _from, respond) => {
-      this._checkAll(body.journal)
+      this._checkHandoversFrom(body.journal)
       respond(body)
     })
   }
 
   private _accept (journal: string, programs: ProgramState[], onRecorded: (programIds: string[]) => void): void {
     const epoch = this._journal.current
-    let missing = programs.length
+    let pendingAppends = programs.length
     for (const program of programs) {
       epoch.append({ type: 'programSnapshot', program, adoptedFrom: journal }, outcome => {
-        missing--
-        if (missing > 0) return
+        pendingAppends--
+        if (pendingAppends > 0) return
         if (outcome.type === 'fenced') {
           onRecorded([])
           return
         }
-        const handover = { journal, epoch, programs, checks: 0 }
+        const handover = { journal, epoch, programs, checkCount: 0 }
         this._pending.add(handover)
-        this._timers.after(CHECK_MS, () => this._check(handover))
+        this._timers.after(CHECK_PERIOD_MS, () => this._checkOwner(handover))
         onRecorded(programs.map(state => state.programId))
       })
     }
   }
 
-  private _checkAll (journal: string): void {
+  private _checkHandoversFrom (journal: string): void {
     for (const handover of this._pending) {
-      if (handover.journal === journal) this._check(handover)
+      if (handover.journal === journal) this._checkOwner(handover)
     }
   }
 
-  /** Reads the old journal until it says who the home is; the message of the old home only hastens this. */
-  private _check (handover: PendingHandover): void {
+  /**
+   * Reads the former owner's journal until it names the new owner or has a fence; the message of the former owner only makes
+   * this check happen earlier. Gives up after `MAX_CHECKS`, or when the own journal is fenced.
+   */
+  private _checkOwner (handover: PendingHandover): void {
     if (!this._pending.has(handover)) return
     this._reader.readJournal(handover.journal, state => {
       if (!this._pending.has(handover)) return
       const owner = state?.adoptions.get(handover.programs[0].programId)
       const isDecided = owner !== undefined || state?.fence !== undefined
-      handover.checks++
-      if (isDecided || handover.checks > MAX_CHECKS || handover.epoch.isFenced) {
+      handover.checkCount++
+      if (isDecided || handover.checkCount > MAX_CHECKS || handover.epoch.isFenced) {
         this._pending.delete(handover)
         if (owner !== undefined && isSameNode(owner, handover.epoch.writer)) this._serve(handover)
         return
       }
-      this._timers.after(CHECK_MS, () => this._check(handover))
+      this._timers.after(CHECK_PERIOD_MS, () => this._checkOwner(handover))
     })
   }
 
