--- a/packages/core/src/common/membership/addressing.ts
+++ b/packages/core/src/common/membership/addressing.ts
@@ -1,13 +1,16 @@
-/** Tells callers which addresses to use. */
+/** Resolves which entry VM addresses a caller should use. */
 import { inject, injectable } from 'tsyringe'
 import { ICallers } from '../kernel/callerPort.js'
 import { IRandom } from '../kernel/random.js'
 import { CoreSettings } from '../kernel/settings.js'
 import { IMembership, type PeerInfo } from './membership.js'
 
-/** Answers address queries. Old answers stay harmless, since every node forwards. */
+/** Answers address queries. An outdated answer does no harm, because every node forwards requests to the program owner. */
 export interface IAddressing {
-  /** Addresses in the order in which a caller of `zone` should try them: own zone first, then the others in turn. */
+  /**
+   * At most `addressCount` live nodes in the order in which a caller of `zone` should try them: up to half of that number, rounded
+   * up, in `zone`, then nodes of the other zones in turn, then further nodes of `zone`.
+   */
   resolveAddresses (zone: string | undefined): PeerInfo[]
 }
 export const IAddressing = Symbol('IAddressing')
@@ -30,14 +33,14 @@
 
   resolveAddresses (zone: string | undefined): PeerInfo[] {
     const nodes = this._membership.liveNodes()
-    const near = this._random.sample(nodes.filter(node => node.zone === zone), this._settings.addressCount)
-    const far = interleaveZones(this._random.sample(nodes.filter(node => node.zone !== zone), nodes.length))
-    const firstCount = Math.min(near.length, Math.ceil(this._settings.addressCount / 2))
-    return [...near.slice(0, firstCount), ...far, ...near.slice(firstCount)].slice(0, this._settings.addressCount)
+    const sameZone = this._random.sample(nodes.filter(node => node.zone === zone), this._settings.addressCount)
+    const otherZones = interleaveZones(this._random.sample(nodes.filter(node => node.zone !== zone), nodes.length))
+    const firstCount = Math.min(sameZone.length, Math.ceil(this._settings.addressCount / 2))
+    return [...sameZone.slice(0, firstCount), ...otherZones, ...sameZone.slice(firstCount)].slice(0, this._settings.addressCount)
   }
 }
 
-/** Orders nodes so that neighbours in the list are in different zones. */
+/** Orders nodes round-robin over their zones: the first node of each zone, then the second of each, and so on. */
 function interleaveZones (nodes: PeerInfo[]): PeerInfo[] {
   const rounds = new Map<string, number>()
   const keyed = nodes.map(node => {
--- a/packages/core/src/common/membership/membership.contribution.ts
+++ b/packages/core/src/common/membership/membership.contribution.ts
@@ -1,3 +1,4 @@
+/** Registers peer messages, membership and address queries. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { IPeers, Peers } from '../peers/peers.js'
 import { Addressing, IAddressing } from './addressing.js'
--- a/packages/core/src/common/membership/membership.ts
+++ b/packages/core/src/common/membership/membership.ts
@@ -1,4 +1,4 @@
-/** Who is in the fleet: the VM list, probes of random peers and what connections show. */
+/** Which nodes and workers can be used, from the VM list, probes of random peers and received messages. */
 import { inject, injectable } from 'tsyringe'
 import { IClock } from '../kernel/clock.js'
 import { ILogger } from '../kernel/effectQueue.js'
@@ -12,60 +12,73 @@
 import { IPeers } from '../peers/peers.js'
 import { WorkerDirectory, type WorkerInfo } from './workerDirectory.js'
 
-/** What is known of an entry VM. */
+/** State of an entry VM as this node sees it. */
 export interface PeerInfo {
   node: string
   zone: string
   address: string
   peerAddress: string
-  /** Known once the node was heard. */
+  /** Incarnation of the newest run that sent a message; undefined before the first message. */
   incarnation?: string
   isDraining: boolean
+  /** True while the VM list has the node, and from its first message until the next list. */
   isListed: boolean
+  /** Last `NodeDigest.revision` that the node sent. */
   revision: number
+  /** Last `NodeDigest.controlOffset` that the node sent. */
   controlOffset: number
+  /** Failed probes since the last message. */
   failedProbes: number
-  /** Time since which the node counts as unreachable. */
+  /** Time since which the node has been suspected to be unavailable; undefined while it is not. */
   suspectedSinceMs?: number
-  lastHeardMs: number
-  /** Time of the last probe that a peer's suspicion caused. */
-  checkedAtMs: number
+  /** Time of the last message from the node; before the first message, the time at which it was listed. */
+  lastReceivedMs: number
+  /** Time of the last probe sent because a peer suspected the node. */
+  suspicionProbedAtMs: number
 }
 
-/** What a node tells of itself in probes; plug-ins contribute their part. */
+/** Supplies the part of this node's digest that the configuration plug-in knows. */
 export type DigestSource = () => Pick<NodeDigest, 'revision' | 'controlOffset'>
 
-/** Steers traffic. It never decides ownership: only the log does. */
+/** Tracks nodes and workers to direct traffic. It never decides ownership of programs: only the log does. */
 export interface IMembership {
   /** Fires after the set of usable nodes or workers may have changed. */
   readonly onDidChange: Event<void>
   /** Fires with the name of a node that has become unreachable. */
   readonly onDidSuspect: Event<string>
-  /** Fires when a peer reports a control offset beyond the given one. */
+  /** Fires for every digest received in a probe or in its reply. */
   readonly onDidHearDigest: Event<NodeDigest>
   /** Nodes that may get new work, this one included unless it drains. */
   liveNodes (): PeerInfo[]
   /** Number of live nodes, at least 1. */
   readonly liveCount: number
-  /** All known nodes but this one. */
+  /** All known nodes except this one. */
   knownPeers (): PeerInfo[]
   findNode (node: string): PeerInfo | undefined
-  /** True for a run of the daemon that is not known to have ended and is not suspected. */
+  /**
+   * True for a run of the daemon whose node is listed or sent a message within `takeoverAfterMs`, is not suspected and has not
+   * started a newer run.
+   */
   isAlive (node: NodeRef): boolean
-  /** True when that run has been away so long that its programs may be adopted. */
+  /**
+   * True when the programs of that run may be taken over: its node is unknown, has started a newer run, has been suspected
+   * for `takeoverAfterMs`, or is unlisted and sent nothing for that time.
+   */
   isTakeoverDue (node: NodeRef): boolean
-  /** Workers of a back end that may get new work. */
+  /** Workers of a backend that may get new work. */
   workers (backend: string): WorkerInfo[]
+  /** A worker that may get new work. */
   findWorker (worker: string): WorkerInfo | undefined
-  /** A worker that the VM list names, even if it leaves: it may still hand out what it holds. */
+  /** A worker of the VM list, also one that is leaving: other workers may still fetch cached state from it. */
   findListedWorker (worker: string): WorkerInfo | undefined
-  /** Notes that a worker said, or showed, that it leaves. */
+  /** Excludes a worker from new work because it announced that it is leaving. */
   markLeaving (worker: string): void
-  /** Notes that a node could not be reached by a caller's request. */
+  /** Probes a node at once, because a request could not be delivered to it. */
   markUnreachable (node: string): void
   readonly isDraining: boolean
-  /** Fires when the VM list says that this node's VM is leaving. */
-  readonly onDidLearnLeaving: Event<void>
+  /** Fires for each VM list that marks this node's VM as leaving. */
+  readonly onDidReceiveLeaveNotice: Event<void>
+  /** Marks this node as draining: it gets no new work, and its digests say so. */
   setDraining (): void
   setDigestSource (source: DigestSource): void
   setVmList (entries: VmEntry[]): void
@@ -75,19 +88,19 @@
 @injectable()
 export class Membership extends Disposable implements IMembership {
   private readonly _didChange = new Emitter<void>()
-  private readonly _didHearDigest = new Emitter<NodeDigest>()
+  private readonly _didReceiveDigest = new Emitter<NodeDigest>()
   private readonly _didSuspect = new Emitter<string>()
-  private readonly _didLearnLeaving = new Emitter<void>()
+  private readonly _didReceiveLeaveNotice = new Emitter<void>()
   private readonly _peers = new Map<string, PeerInfo>()
   private readonly _workers = new WorkerDirectory()
   private readonly _self: PeerInfo
-  private _live: PeerInfo[] | undefined
+  private _liveNodes: PeerInfo[] | undefined
   private _digestSource: DigestSource = () => ({ revision: 0, controlOffset: 0 })
 
   readonly onDidChange = this._didChange.event
-  readonly onDidHearDigest = this._didHearDigest.event
+  readonly onDidHearDigest = this._didReceiveDigest.event
   readonly onDidSuspect = this._didSuspect.event
-  readonly onDidLearnLeaving = this._didLearnLeaving.event
+  readonly onDidReceiveLeaveNotice = this._didReceiveLeaveNotice.event
 
   constructor (
     @inject(NodeIdentity) private readonly _identity: NodeIdentity,
@@ -100,16 +113,16 @@
   ) {
     super()
     const { node, zone, address, peerAddress, incarnation } = _identity
-    this._self = { node, zone, address, peerAddress, incarnation, isDraining: false, isListed: true, revision: 0, controlOffset: 0, failedProbes: 0, lastHeardMs: 0, checkedAtMs: 0 }
+    this._self = { node, zone, address, peerAddress, incarnation, isDraining: false, isListed: true, revision: 0, controlOffset: 0, failedProbes: 0, lastReceivedMs: 0, suspicionProbedAtMs: 0 }
   }
 
   start (): void {
     this._peerPort.handle('probe', (body, from, respond) => {
-      this._noteDigest(from.node, body.digest)
-      respond({ type: 'probeReply', digest: this._digest() })
+      this._handleDigest(from.node, body.digest)
+      respond({ type: 'probeReply', digest: this._createDigest() })
     })
-    this._register(this._peerPort.onDidHear(from => this._noteHeard(from)))
-    this._register(this._timers.every(this._settings.probePeriodMs, () => this._probeSome()))
+    this._register(this._peerPort.onDidReceive(from => this._handleMessageFrom(from)))
+    this._register(this._timers.every(this._settings.probePeriodMs, () => this._probeSample()))
   }
 
   get liveCount (): number {
@@ -121,8 +134,8 @@
   }
 
   liveNodes (): PeerInfo[] {
-    this._live ??= [this._self, ...this._peers.values()].filter(peer => this._isUsable(peer))
-    return this._live
+    this._liveNodes ??= [this._self, ...this._peers.values()].filter(peer => this._isUsable(peer))
+    return this._liveNodes
   }
 
   knownPeers (): PeerInfo[] {
@@ -137,7 +150,7 @@
     if (node.node === this._identity.node) return node.incarnation === this._identity.incarnation
     const peer = this.findNode(node.node)
     if (peer === undefined || this._hasRestarted(peer, node)) return false
-    return peer.suspectedSinceMs === undefined && (peer.isListed || this._wasHeardLately(peer))
+    return peer.suspectedSinceMs === undefined && (peer.isListed || this._hasSentRecently(peer))
   }
 
   isTakeoverDue (node: NodeRef): boolean {
@@ -145,8 +158,8 @@
     if (peer === undefined) return true
     if (peer === this._self) return node.incarnation !== this._identity.incarnation
     if (this._hasRestarted(peer, node)) return true
-    const awaySinceMs = peer.suspectedSinceMs ?? (peer.isListed ? undefined : peer.lastHeardMs)
-    return awaySinceMs !== undefined && this._clock.nowMs() - awaySinceMs >= this._settings.takeoverAfterMs
+    const unavailableSinceMs = peer.suspectedSinceMs ?? (peer.isListed ? undefined : peer.lastReceivedMs)
+    return unavailableSinceMs !== undefined && this._clock.nowMs() - unavailableSinceMs >= this._settings.takeoverAfterMs
   }
 
   workers (backend: string): WorkerInfo[] {
@@ -174,7 +187,7 @@
 
   setDraining (): void {
     this._self.isDraining = true
-    this._changed()
+    this._fireChange()
   }
 
   setDigestSource (source: DigestSource): void {
@@ -185,14 +198,14 @@
     this._workers.setList(entries)
     for (const peer of this._peers.values()) peer.isListed = false
     for (const entry of entries) {
-      if (entry.role === VmRole.Entry) this._noteListedPeer(entry)
+      if (entry.role === VmRole.Entry) this._applyListEntry(entry)
     }
-    this._changed()
+    this._fireChange()
   }
 
-  private _noteListedPeer (entry: VmEntry): void {
+  private _applyListEntry (entry: VmEntry): void {
     if (entry.name === this._identity.node) {
-      if (entry.state === VmState.Leaving) this._didLearnLeaving.fire()
+      if (entry.state === VmState.Leaving) this._didReceiveLeaveNotice.fire()
       return
     }
     const known = this._peers.get(entry.name)
@@ -209,8 +222,8 @@
       controlOffset: known?.controlOffset ?? 0,
       failedProbes: known?.failedProbes ?? 0,
       suspectedSinceMs: known?.suspectedSinceMs,
-      lastHeardMs: known?.lastHeardMs ?? this._clock.nowMs(),
-      checkedAtMs: known?.checkedAtMs ?? 0
+      lastReceivedMs: known?.lastReceivedMs ?? this._clock.nowMs(),
+      suspicionProbedAtMs: known?.suspicionProbedAtMs ?? 0
     })
   }
 
@@ -218,18 +231,18 @@
     return peer.isListed && !peer.isDraining && peer.suspectedSinceMs === undefined
   }
 
-  private _wasHeardLately (peer: PeerInfo): boolean {
-    return this._clock.nowMs() - peer.lastHeardMs < this._settings.takeoverAfterMs
+  private _hasSentRecently (peer: PeerInfo): boolean {
+    return this._clock.nowMs() - peer.lastReceivedMs < this._settings.takeoverAfterMs
   }
 
   private _hasRestarted (peer: PeerInfo, node: NodeRef): boolean {
     return peer.incarnation !== undefined && peer.incarnation > node.incarnation
   }
 
-  private _noteHeard (from: PeerSender): void {
+  private _handleMessageFrom (from: PeerSender): void {
     let peer = this._peers.get(from.node)
     if (peer === undefined) {
-      peer = { node: from.node, zone: from.zone, address: from.address, peerAddress: from.peerAddress, isDraining: false, isListed: true, revision: 0, controlOffset: 0, failedProbes: 0, lastHeardMs: 0, checkedAtMs: 0 }
+      peer = { node: from.node, zone: from.zone, address: from.address, peerAddress: from.peerAddress, isDraining: false, isListed: true, revision: 0, controlOffset: 0, failedProbes: 0, lastReceivedMs: 0, suspicionProbedAtMs: 0 }
       this._peers.set(from.node, peer)
     }
     const isOlderRun = peer.incarnation !== undefined && from.incarnation < peer.incarnation
@@ -240,52 +253,52 @@
     peer.incarnation = from.incarnation
     peer.address = from.address
     peer.peerAddress = from.peerAddress
-    peer.lastHeardMs = this._clock.nowMs()
+    peer.lastReceivedMs = this._clock.nowMs()
     peer.failedProbes = 0
     if (peer.suspectedSinceMs !== undefined) this._logger.info('nodeRecovered', { node: peer.node })
     peer.suspectedSinceMs = undefined
-    if (isNewRun || !wasUsable) this._changed()
+    if (isNewRun || !wasUsable) this._fireChange()
   }
 
-  private _noteDigest (node: string, digest: NodeDigest): void {
+  private _handleDigest (node: string, digest: NodeDigest): void {
     const peer = this._peers.get(node)
     if (peer === undefined) return
     peer.revision = digest.revision
     peer.controlOffset = digest.controlOffset
     if (digest.isDraining && !peer.isDraining) {
       peer.isDraining = true
-      this._changed()
+      this._fireChange()
     }
-    this._didHearDigest.fire(digest)
-    for (const suspect of digest.suspects) this._checkSuspect(suspect)
+    this._didReceiveDigest.fire(digest)
+    for (const suspect of digest.suspects) this._probeSuspect(suspect)
   }
 
-  /** A peer's suspicion is checked with an own probe, not believed; once a period, whoever repeats it. */
-  private _checkSuspect (node: string): void {
+  /** Verifies a peer's suspicion with an own probe, at most once per `probePeriodMs` however many peers report it. */
+  private _probeSuspect (node: string): void {
     const peer = this._peers.get(node)
     if (peer === undefined || peer.suspectedSinceMs !== undefined || peer.failedProbes > 0) return
     const nowMs = this._clock.nowMs()
-    if (nowMs - peer.checkedAtMs < this._settings.probePeriodMs) return
-    peer.checkedAtMs = nowMs
+    if (nowMs - peer.suspicionProbedAtMs < this._settings.probePeriodMs) return
+    peer.suspicionProbedAtMs = nowMs
     this._probe(peer)
   }
 
-  private _probeSome (): void {
-    const peers = [...this._peers.values()].filter(peer => peer.isListed || this._wasHeardLately(peer))
-    const doubtful = peers.filter(peer => peer.failedProbes > 0)
-    const chosen = new Set([...this._random.sample(peers, this._settings.probeFanout), ...doubtful.slice(0, this._settings.probeFanout)])
+  private _probeSample (): void {
+    const peers = [...this._peers.values()].filter(peer => peer.isListed || this._hasSentRecently(peer))
+    const failing = peers.filter(peer => peer.failedProbes > 0)
+    const chosen = new Set([...this._random.sample(peers, this._settings.probeFanout), ...failing.slice(0, this._settings.probeFanout)])
     for (const peer of chosen) this._probe(peer)
   }
 
   private _probe (peer: PeerInfo): void {
-    const probe = { type: 'probe', digest: this._digest() } as const
+    const probe = { type: 'probe', digest: this._createDigest() } as const
     this._peerPort.request(peer, probe, this._settings.probeTimeoutMs, answer => {
-      if (answer.type === 'failed') this._noteProbeFailed(peer.node)
-      else if (answer.body.type === 'probeReply') this._noteDigest(peer.node, answer.body.digest)
+      if (answer.type === 'failed') this._handleProbeFailure(peer.node)
+      else if (answer.body.type === 'probeReply') this._handleDigest(peer.node, answer.body.digest)
     })
   }
 
-  private _noteProbeFailed (node: string): void {
+  private _handleProbeFailure (node: string): void {
     const peer = this._peers.get(node)
     if (peer === undefined) return
     peer.failedProbes++
@@ -296,11 +309,11 @@
     }
     peer.suspectedSinceMs = this._clock.nowMs()
     this._logger.warn('nodeSuspected', { node })
-    this._changed()
+    this._fireChange()
     this._didSuspect.fire(node)
   }
 
-  private _digest (): NodeDigest {
+  private _createDigest (): NodeDigest {
     const suspects = [...this._peers.values()].filter(peer => peer.suspectedSinceMs !== undefined && peer.isListed)
     return {
       isDraining: this._self.isDraining,
@@ -310,8 +323,8 @@
     }
   }
 
-  private _changed (): void {
-    this._live = undefined
+  private _fireChange (): void {
+    this._liveNodes = undefined
     this._didChange.fire()
   }
 }
--- a/packages/core/src/common/membership/workerDirectory.ts
+++ b/packages/core/src/common/membership/workerDirectory.ts
@@ -1,7 +1,7 @@
-/** The backend servers of the VM list, without those that leave. */
+/** The backend servers of the VM list, and which of them may get new work. */
 import { type VmEntry, VmRole, VmState } from '../kernel/node.js'
 
-/** A backend server that may get new work. */
+/** A backend server of the VM list. */
 export interface WorkerInfo {
   worker: string
   backend: string
@@ -9,14 +9,15 @@
   address: string
 }
 
+/** Looks workers up by name and by backend. */
 export class WorkerDirectory {
   private readonly _usable = new Map<string, WorkerInfo>()
   private readonly _listed = new Map<string, WorkerInfo>()
   private readonly _byBackend = new Map<string, WorkerInfo[]>()
-  /** Workers that said, or showed, that they leave, until the list drops them. */
+  /** Workers marked as leaving, until the VM list no longer has them. */
   private readonly _leaving = new Set<string>()
 
-  /** Takes a new VM list. */
+  /** Replaces the VM list. */
   setList (entries: VmEntry[]): void {
     const names = new Set(entries.map(entry => entry.name))
     for (const name of this._leaving) {
@@ -28,21 +29,22 @@
     this._groupByBackend()
   }
 
-  /** Workers of a back end that may get new work. */
+  /** Workers of a backend that may get new work. */
   workers (backend: string): WorkerInfo[] {
     return this._byBackend.get(backend) ?? []
   }
 
+  /** A worker that may get new work. */
   find (worker: string): WorkerInfo | undefined {
     return this._usable.get(worker)
   }
 
-  /** Also finds a worker that leaves. */
+  /** A worker of the VM list, also one that is leaving. */
   findListed (worker: string): WorkerInfo | undefined {
     return this._listed.get(worker)
   }
 
-  /** Takes a worker out of use; false when it was already. */
+  /** Excludes a worker from new work; false when it was marked before. */
   markLeaving (worker: string): boolean {
     if (this._leaving.has(worker)) return false
     this._leaving.add(worker)
