--- a/packages/core/src/common/peers/peerMessages.ts
+++ b/packages/core/src/common/peers/peerMessages.ts
@@ -1,15 +1,15 @@
-/** Messages between nodes. The transport may lose, delay or repeat them; none of them decides ownership. */
+/** Messages between nodes. The transport may lose, delay or duplicate them; none of them decides ownership of programs. */
 import type { ConfigurationDocument } from '../configuration/document.js'
 import type { NodeRef } from '../kernel/node.js'
 import type { ProgramState } from '../programs/programState.js'
 
-/** Sender of a message, with what a receiver needs to answer it. */
+/** The sender of a message, with the address for replies. */
 export interface PeerSender extends NodeRef {
   peerAddress: string
   zone: string
 }
 
-/** A message with its correlation. `replyTo` names the `messageId` that it answers. */
+/** A message with its sender and receiver. `replyTo` is the `messageId` of the request that it answers. */
 export interface PeerEnvelope {
   from: PeerSender
   to: string
@@ -18,21 +18,22 @@
   body: PeerMessage
 }
 
-/** What nodes tell each other at every probe. */
+/** Status of a node, sent in every probe and probe reply. */
 export interface NodeDigest {
   isDraining: boolean
   environment: string
+  /** Revision of the newest configuration that the sender has for its environment; 0 when it has none. */
   revision: number
-  /** Offset up to which the sender has read the control stream. */
+  /** Offset of the next record that the sender will read from the control stream. */
   controlOffset: number
-  /** Names of nodes that the sender cannot reach. */
+  /** Names of listed nodes that the sender suspects to be unavailable, at most `probeFanout`. */
   suspects: string[]
 }
 
 export interface Probe { type: 'probe', digest: NodeDigest }
 export interface ProbeReply { type: 'probeReply', digest: NodeDigest }
 
-/** Asks the lead of a worker what a new program would meet there. */
+/** Requests from the coordinator of a worker what a new program can expect there. */
 export interface PlacementEstimateRequest {
   type: 'offerRequest'
   worker: string
@@ -40,19 +41,22 @@
   customer: string
   kind: string
 }
+/** What a new program can expect at a worker; it reserves nothing. */
 export interface PlacementEstimate {
   type: 'offer'
   worker: string
-  /** False when the asked node does not lead the worker or the worker is gone. */
+  /** False when the node that answers does not coordinate the worker, or the worker is leaving or removed. */
   isUsable: boolean
+  /** True when the worker would admit the program now. */
   isAdmitted: boolean
   expectedWaitMs: number
-  /** Share of the worker's slots that programs in progress need. */
+  /** Slots that the active programs need on average, relative to the worker's concurrency limit for the rank; may exceed 1. */
   load: number
+  /** Time after which a refused program should try again. */
   retryAfterMs: number
 }
 
-/** What a lead must know to order a step in its queue. */
+/** Requests a slot for a step, with what the coordinator needs to order its queue. */
 export interface SlotRequest {
   type: 'slotRequest'
   worker: string
@@ -64,66 +68,79 @@
   isFirstStep: boolean
   /** Time at which the program should be complete. */
   dueAtMs: number
-  /** Latest time at which a grant is of use. */
+  /** Time after which a grant is no longer useful; the coordinator then refuses the ticket. */
   deadlineMs: number
   /** Number of completed steps of the program. */
   attainedSteps: number
+  /** Estimated length of the prompt, history included. */
   promptTokens: number
-  /** True when the request was in flight at a crash. */
+  /** True when the request was in flight on a worker when it crashed. */
   isSuspect: boolean
-  /** True when the step already runs; told to a node that has just become lead. */
+  /** True when the step already holds a slot; sent to the node that has become the worker's coordinator since. */
   isHeld: boolean
 }
 export interface SlotGrant { type: 'slotGrant', ticket: string }
+/**
+ * Refuses a ticket. `notLead`: the node does not coordinate the worker. `workerGone`: the worker is leaving, removed or about to
+ * change its model. `deadline`: no slot was granted before `deadlineMs`.
+ */
 export interface SlotRefusal { type: 'slotRefusal', ticket: string, reason: 'notLead' | 'workerGone' | 'deadline' | 'overloaded', retryAfterMs: number }
-/** Ends a ticket, granted or waiting. */
+/** Ends a ticket, whether it holds a slot or waits. */
 export interface SlotRelease {
   type: 'slotRelease'
   worker: string
   ticket: string
   report?: SlotReport
 }
-/** What one model call showed. */
+/** Measurements of one model call. */
 export interface SlotReport {
   isSuccess: boolean
+  /** Time from sending the call to its end. */
   serviceMs: number
+  /** Time from sending the call to its first token, or to its end when there was no token. */
   firstTokenMs: number
-  /** Mean time between tokens. */
+  /** Mean time between tokens after the first; 0 for fewer than two tokens. */
   tokenGapMs: number
   promptTokens: number
   cachedTokens: number
 }
 
-/** Tells a lead that a program no longer uses its worker. */
+/** Notifies a coordinator that a program no longer uses its worker. */
 export interface ProgramLeftNotice {
   type: 'residentNotice'
   worker: string
   programId: string
 }
 
-/** Asks a lead how busy its workers of a pool are. */
-export interface DemandRequest { type: 'demandRequest', pool: string }
-/** Calls that run or wait at a worker, and programs refused there lately. */
+/** Requests the load of the workers of a pool that the receiver coordinates. */
+export interface WorkerLoadRequest { type: 'demandRequest', pool: string }
+/**
+ * Load of a worker: `demand` is the number of running and waiting calls, plus the recent placement estimates that refused
+ * admission, which decay with time.
+ */
 export interface WorkerDemand { worker: string, demand: number }
-export interface DemandAnswer { type: 'demandAnswer', workers: WorkerDemand[] }
+export interface WorkerLoadAnswer { type: 'demandAnswer', workers: WorkerDemand[] }
 
-/** Asks whether programs that hold engine memory are still open at their home. */
-export interface HeldQuery { type: 'heldQuery', programIds: string[] }
-export interface HeldAnswer { type: 'heldAnswer', gone: string[] }
+/** Queries which of the programs that hold engine memory are no longer open at the receiver, which should own them. */
+export interface HeldProgramsQuery { type: 'heldQuery', programIds: string[] }
+/** `gone` lists the queried programs that the answering node does not have, or has closed. */
+export interface HeldProgramsAnswer { type: 'heldAnswer', gone: string[] }
 
+/** Requests the configurations that the receiver has read; sent by a node that has none while it cannot read the log. */
 export interface ConfigurationRequest { type: 'configurationRequest' }
 export interface ConfigurationCopy {
   type: 'configurationCopy'
   environments: Array<{ environment: string, revision: number, offset: number, document: ConfigurationDocument }>
 }
 
-/** Offers programs of a stopping node to their next home. */
+/** Offers programs of a draining node, with their state, to their next owner. */
 export interface HandoverOffer { type: 'handoverOffer', journal: string, programs: ProgramState[] }
+/** Lists the programs whose snapshots are in the receiver's journal; empty when it does not accept the programs. */
 export interface HandoverAnswer { type: 'handoverAnswer', acceptedProgramIds: string[] }
-/** The journal of the old home names the new one: it may serve now. */
+/** Notifies the new owner that `journal` now names it. The receiver reads the journal before it serves the programs, and echoes the message. */
 export interface HandoverDone { type: 'handoverDone', journal: string, programIds: string[] }
 
 export type PeerMessage = Probe | ProbeReply | PlacementEstimateRequest | PlacementEstimate | SlotRequest | SlotGrant | SlotRefusal | SlotRelease |
-  ProgramLeftNotice | DemandRequest | DemandAnswer | HeldQuery | HeldAnswer | ConfigurationRequest | ConfigurationCopy | HandoverOffer | HandoverAnswer | HandoverDone
+  ProgramLeftNotice | WorkerLoadRequest | WorkerLoadAnswer | HeldProgramsQuery | HeldProgramsAnswer | ConfigurationRequest | ConfigurationCopy | HandoverOffer | HandoverAnswer | HandoverDone
 
 export type PeerMessageOf<K extends PeerMessage['type']> = Extract<PeerMessage, { type: K }>
--- a/packages/core/src/common/peers/peers.ts
+++ b/packages/core/src/common/peers/peers.ts
@@ -1,4 +1,4 @@
-/** Request and reply between nodes over host messages. */
+/** Requests and replies between nodes, over messages that the host sends and receives. */
 import { inject, injectable } from 'tsyringe'
 import { Emitter, type Event } from '../kernel/emitter.js'
 import { IEffects } from '../kernel/effectQueue.js'
@@ -7,47 +7,48 @@
 import { ITimers } from '../kernel/timers.js'
 import type { PeerEnvelope, PeerMessage, PeerMessageOf, PeerSender } from './peerMessages.js'
 
-/** Where a message goes. */
+/** Receiver of a message. */
 export interface PeerTarget {
   node: string
   peerAddress: string
 }
 
+/** Outcome of a request. `isUnreachable`: true when the message could not be delivered, false after the timeout. */
 export type PeerAnswer<T extends PeerMessage = PeerMessage> =
   | { type: 'answered', body: T, from: PeerSender }
   | { type: 'failed', isUnreachable: boolean }
 
-type Handler = (body: PeerMessage, from: PeerSender, respond: (body: PeerMessage) => void) => void
+type MessageHandler = (body: PeerMessage, from: PeerSender, respond: (body: PeerMessage) => void) => void
 interface PendingRequest {
   node: string
   timeout: IDisposable
   onAnswer: (answer: PeerAnswer) => void
 }
 
-/** Talks to other nodes. Losing any message must be safe. */
+/** Sends messages to other nodes. Any message may be lost, so the loss of each must be safe. */
 export interface IPeers {
-  /** Fires for every message that shows its sender alive. */
-  readonly onDidHear: Event<PeerSender>
-  /** Fires when a message could not be delivered. */
-  readonly onDidFail: Event<string>
+  /** Fires with the sender of every message addressed to this node. */
+  readonly onDidReceive: Event<PeerSender>
+  /** Fires with the name of the receiver when a message could not be delivered. */
+  readonly onDidFailDelivery: Event<string>
   /** Sends a message without waiting for an answer. */
   send (target: PeerTarget, body: PeerMessage): void
-  /** Sends a message and reports its answer, a failed delivery or the timeout, exactly once. */
+  /** Sends a message; `onAnswer` is called exactly once, with the answer, a failed delivery or the timeout. */
   request (target: PeerTarget, body: PeerMessage, timeoutMs: number, onAnswer: (answer: PeerAnswer) => void): void
-  /** Sets the handler of one type of message. */
+  /** Sets the handler of requests of one message type; it replaces an earlier one. */
   handle<K extends PeerMessage['type']> (type: K, handler: (body: PeerMessageOf<K>, from: PeerSender, respond: (body: PeerMessage) => void) => void): void
 }
 export const IPeers = Symbol('IPeers')
 
 @injectable()
 export class Peers implements IPeers {
-  private readonly _didHear = new Emitter<PeerSender>()
-  private readonly _didFail = new Emitter<string>()
-  private readonly _handlers = new Map<string, Handler>()
+  private readonly _didReceive = new Emitter<PeerSender>()
+  private readonly _didFailDelivery = new Emitter<string>()
+  private readonly _handlers = new Map<string, MessageHandler>()
   private readonly _pending = new Map<number, PendingRequest>()
 
-  readonly onDidHear = this._didHear.event
-  readonly onDidFail = this._didFail.event
+  readonly onDidReceive = this._didReceive.event
+  readonly onDidFailDelivery = this._didFailDelivery.event
 
   constructor (
     @inject(IEffects) private readonly _effects: IEffects,
@@ -61,31 +62,31 @@
 
   request (target: PeerTarget, body: PeerMessage, timeoutMs: number, onAnswer: (answer: PeerAnswer) => void): void {
     const messageId = this._effects.nextId()
-    const timeout = this._timers.after(timeoutMs, () => this._settle(messageId, { type: 'failed', isUnreachable: false }))
+    const timeout = this._timers.after(timeoutMs, () => this._resolveRequest(messageId, { type: 'failed', isUnreachable: false }))
     this._pending.set(messageId, { node: target.node, timeout, onAnswer })
     this._post(target, body, messageId)
   }
 
   handle<K extends PeerMessage['type']> (type: K, handler: (body: PeerMessageOf<K>, from: PeerSender, respond: (body: PeerMessage) => void) => void): void {
-    this._handlers.set(type, handler as Handler)
+    this._handlers.set(type, handler as MessageHandler)
   }
 
-  /** Delivers a message that the host received. */
+  /** Passes a message that the host received to its request or handler; ignores messages addressed to other nodes. */
   handleMessage (envelope: PeerEnvelope): void {
     if (envelope.to !== this._identity.node) return
-    this._didHear.fire(envelope.from)
+    this._didReceive.fire(envelope.from)
     if (envelope.replyTo !== undefined) {
-      this._settle(envelope.replyTo, { type: 'answered', body: envelope.body, from: envelope.from })
+      this._resolveRequest(envelope.replyTo, { type: 'answered', body: envelope.body, from: envelope.from })
       return
     }
     const respond = (body: PeerMessage) => this._post(envelope.from, body, this._effects.nextId(), envelope.messageId)
     this._handlers.get(envelope.body.type)?.(envelope.body, envelope.from, respond)
   }
 
-  /** Notes that the host could not deliver a message. */
+  /** Ends the request whose message the host could not deliver. */
   handleFailed (node: string, messageId: number): void {
-    this._didFail.fire(node)
-    this._settle(messageId, { type: 'failed', isUnreachable: true })
+    this._didFailDelivery.fire(node)
+    this._resolveRequest(messageId, { type: 'failed', isUnreachable: true })
   }
 
   private _sender (): PeerSender {
@@ -93,7 +94,7 @@
     return { node, incarnation, address, peerAddress, zone }
   }
 
-  private _settle (messageId: number, answer: PeerAnswer): void {
+  private _resolveRequest (messageId: number, answer: PeerAnswer): void {
     const pending = this._pending.get(messageId)
     if (pending === undefined) return
     this._pending.delete(messageId)
