--- a/packages/core/src/common/audit/audit.contribution.ts
+++ b/packages/core/src/common/audit/audit.contribution.ts
@@ -1,3 +1,4 @@
+/** Registers the announcement of this node on the control stream. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { NodeAnnouncement } from './nodeAnnouncement.js'
 
--- a/packages/core/src/common/audit/nodeAnnouncement.ts
+++ b/packages/core/src/common/audit/nodeAnnouncement.ts
@@ -1,4 +1,4 @@
-/** Announces each start of this node on the control stream, so that its journal is found when the node is gone. */
+/** Publishes each incarnation of this node on the control stream: other nodes find its journal there when it is unavailable. */
 import { inject, injectable } from 'tsyringe'
 import { IClock } from '../kernel/clock.js'
 import { NodeIdentity } from '../kernel/node.js'
@@ -6,9 +6,10 @@
 import { IConfiguration } from '../configuration/configuration.js'
 import { IJournal } from '../journal/journal.js'
 
-const ATTEMPT_MS = 30_000
+const PUBLISH_TIMEOUT_MS = 30_000
 const RETRY_MS = 1_000
 
+/** Publishes `nodeStarted` at the start and after each fence, and retries until the record is on the stream. */
 @injectable()
 export class NodeAnnouncement {
   constructor (
@@ -27,9 +28,9 @@
   private _announce (): void {
     const { node, incarnation, address, zone } = this._identity
     const record = { type: 'nodeStarted', node: { node, incarnation, address }, zone, atMs: this._clock.nowMs() } as const
-    this._configuration.publish(record, ATTEMPT_MS, outcome => {
-      const mayTryAgain = outcome.type !== 'folded' && this._identity.incarnation === incarnation
-      if (mayTryAgain) this._timers.after(RETRY_MS, () => this._announce())
+    this._configuration.publish(record, PUBLISH_TIMEOUT_MS, outcome => {
+      const mayRetry = outcome.type !== 'folded' && this._identity.incarnation === incarnation
+      if (mayRetry) this._timers.after(RETRY_MS, () => this._announce())
     })
   }
 }
--- a/packages/core/src/common/base/ewma.ts
+++ b/packages/core/src/common/base/ewma.ts
@@ -1,4 +1,4 @@
-/** Exponentially weighted moving average. */
+/** An exponentially weighted moving average. */
 export class Ewma {
   private readonly _weight: number
   private _value: number
@@ -10,6 +10,7 @@
     this._value = initial
   }
 
+  /** The current average. */
   get value (): number {
     return this._value
   }
@@ -18,7 +19,7 @@
     return this._sampleCount
   }
 
-  /** Adds a sample; the first ones weigh more, so that the initial value is soon forgotten. */
+  /** Adds a sample; the first samples weigh more, so that the initial value soon loses its influence. */
   add (sample: number): void {
     this._sampleCount++
     const weight = Math.max(this._weight, 1 / (this._sampleCount + 1))
--- a/packages/core/src/common/base/rendezvous.ts
+++ b/packages/core/src/common/base/rendezvous.ts
@@ -1,12 +1,12 @@
-/** Rendezvous (highest random weight) hashing: every node computes the same owner with no message. */
+/** Rendezvous (highest random weight) hashing: nodes with the same candidates compute the same owner without messages. */
 
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
 const MURMUR_MIX_1 = 0x85ebca6b
 const MURMUR_MIX_2 = 0xc2b2ae35
-const MAX_REMEMBERED_HASHES = 50_000
+const MAX_CACHED_HASHES = 50_000
 
-const rememberedHashes = new Map<string, number>()
+const hashCache = new Map<string, number>()
 
 /** A 32-bit hash of `text`: FNV-1a with the finalizer of MurmurHash3. */
 export function hash32 (text: string): number {
@@ -24,13 +24,13 @@
  * resolveOwner('worker-3', ['regina-1', 'regina-2'], name => name)
  */
 export function resolveOwner<T> (key: string, candidates: Iterable<T>, nameOf: (candidate: T) => string): T | undefined {
-  const keyHash = rememberHash(key)
+  const keyHash = cachedHash32(key)
   let best: T | undefined
   let bestWeight = -1
   let bestName = ''
   for (const candidate of candidates) {
     const name = nameOf(candidate)
-    const weight = mix(Math.imul(keyHash, FNV_PRIME) ^ rememberHash(name))
+    const weight = mix(Math.imul(keyHash, FNV_PRIME) ^ cachedHash32(name))
     const isBetter = weight > bestWeight || (weight === bestWeight && name < bestName)
     if (!isBetter) continue
     best = candidate
@@ -46,11 +46,11 @@
   return (hash ^ (hash >>> 16)) >>> 0
 }
 
-function rememberHash (text: string): number {
-  const known = rememberedHashes.get(text)
+function cachedHash32 (text: string): number {
+  const known = hashCache.get(text)
   if (known !== undefined) return known
-  if (rememberedHashes.size >= MAX_REMEMBERED_HASHES) rememberedHashes.clear()
+  if (hashCache.size >= MAX_CACHED_HASHES) hashCache.clear()
   const hash = hash32(text)
-  rememberedHashes.set(text, hash)
+  hashCache.set(text, hash)
   return hash
 }
--- a/packages/core/src/common/base/tokenBucket.ts
+++ b/packages/core/src/common/base/tokenBucket.ts
@@ -1,9 +1,9 @@
-/** Rate limiting by a token bucket in host time. */
+/** Rate limiting by a token bucket; the caller supplies the time. */
 
 export interface TokenBucketOptions {
   /** Tokens added per second. */
   ratePerSecond: number
-  /** The most tokens that can be saved up. */
+  /** Largest number of tokens in the bucket. */
   burst: number
 }
 
@@ -20,13 +20,13 @@
     this._tokens = options.burst
   }
 
-  /** Changes the rate from now on. */
+  /** Changes the rate from `nowMs` on. */
   setRate (ratePerSecond: number, nowMs: number): void {
     this._refill(nowMs)
     this._ratePerSecond = ratePerSecond
   }
 
-  /** Takes `count` tokens if they are there. */
+  /** Removes `count` tokens; false, and no change, when the bucket holds fewer. */
   tryTake (nowMs: number, count = 1): boolean {
     this._refill(nowMs)
     if (this._tokens < count) return false
@@ -34,12 +34,12 @@
     return true
   }
 
-  /** Adds tokens by hand, up to the burst. */
+  /** Adds tokens in addition to the refill, up to the burst. */
   deposit (count: number): void {
     this._tokens = Math.min(this._burst, this._tokens + count)
   }
 
-  /** Milliseconds until `count` tokens are there. */
+  /** Milliseconds until the bucket holds `count` tokens; 0 when it already does. */
   waitMs (nowMs: number, count = 1): number {
     this._refill(nowMs)
     const missing = count - this._tokens
--- a/packages/core/test/common/base/base.test.ts
+++ b/packages/core/test/common/base/base.test.ts
@@ -20,7 +20,7 @@
   assert.is(new Set(digests).size, digests.length)
 })
 
-test('losing a node moves only the keys that it owned', () => {
+test('removing a node moves only the keys that it owned, and the nodes own about as many keys each', () => {
   const nodes = Array.from({ length: 9 }, (_, index) => `node-${index}`)
   const keys = Array.from({ length: 2_000 }, (_, index) => `worker-${index}`)
   const owner = (key: string, among: string[]) => resolveOwner(key, among, name => name)
@@ -43,7 +43,7 @@
   assert.ok(bucket.tryTake(100))
 })
 
-test('an average forgets its initial value soon', () => {
+test('the initial value of an average loses its influence within a few samples', () => {
   const average = new Ewma(0.1, 1_000)
   for (let index = 0; index < 20; index++) average.add(10)
   assert.ok(average.value < 200)
