--- a/packages/core/src/common/journal/streamWriter.ts
+++ b/packages/core/src/common/journal/streamWriter.ts
@@ -71,6 +71,7 @@
     this._bucket = new TokenBucket({ ratePerSecond: 1, burst: APPEND_BURST })
   }
 
+  /** False from the first failed append until one succeeds. */
   get isHealthy (): boolean {
     return this._consecutiveFailures === 0
   }
--- a/packages/core/src/common/peers/peerMessages.ts
+++ b/packages/core/src/common/peers/peerMessages.ts
@@ -83,6 +83,7 @@
 /**
  * Refuses a ticket. `notLead`: the node does not coordinate the worker. `workerGone`: the worker is leaving, removed or about to
  * change its model. `deadline`: no slot was granted before `deadlineMs`.
+ * No node sends `overloaded`.
  */
 export interface SlotRefusal { type: 'slotRefusal', ticket: string, reason: 'notLead' | 'workerGone' | 'deadline' | 'overloaded', retryAfterMs: number }
 /** Ends a ticket, whether it holds a slot or waits. */
@@ -128,6 +129,7 @@
 
 /** Requests the configurations that the receiver has read; sent by a node that has none while it cannot read the log. */
 export interface ConfigurationRequest { type: 'configurationRequest' }
+/** For each environment the newest configuration, with its revision and its offset in the control stream. */
 export interface ConfigurationCopy {
   type: 'configurationCopy'
   environments: Array<{ environment: string, revision: number, offset: number, document: ConfigurationDocument }>
@@ -143,4 +145,5 @@
 export type PeerMessage = Probe | ProbeReply | PlacementEstimateRequest | PlacementEstimate | SlotRequest | SlotGrant | SlotRefusal | SlotRelease |
   ProgramLeftNotice | WorkerLoadRequest | WorkerLoadAnswer | HeldProgramsQuery | HeldProgramsAnswer | ConfigurationRequest | ConfigurationCopy | HandoverOffer | HandoverAnswer | HandoverDone
 
+/** The message with a given `type`. */
 export type PeerMessageOf<K extends PeerMessage['type']> = Extract<PeerMessage, { type: K }>
