--- a/packages/protocol/src/common/callerApi.ts
+++ b/packages/protocol/src/common/callerApi.ts
@@ -1,19 +1,19 @@
-/** The HTTP bodies of the caller API and how they map to the core's requests and replies. */
+/** Schemas of the HTTP bodies of the caller API, and their conversion to and from the core's requests and replies. */
 import { z } from 'zod'
 import { type CallerReply, type ChatMessage, type Done, type ModelCall, type NotRun, type OpenRequest, Reason, type StepCall, type StepRequest, type StepResult, type Turn, type Unknown } from '@trefoilshunt/core'
 
-const MAX_NAME = 128
-const MAX_KEY = 256
+const MAX_NAME_CHARACTERS = 128
+const MAX_KEY_CHARACTERS = 256
 const MAX_MESSAGES = 64
 const MAX_MESSAGE_CHARACTERS = 400_000
 const MAX_OUTPUT_TOKENS = 100_000
 const MAX_TIMEOUT_MS = 3_600_000
 const DEFAULT_TIMEOUT_MS = 60_000
 const DEFAULT_MAX_TOKENS = 1_024
-const MAX_TURNS = 1_000
+const MAX_HISTORY_TURNS = 1_000
 
-const nameSchema = z.string().min(1).max(MAX_NAME)
-const keySchema = z.string().min(1).max(MAX_KEY)
+const nameSchema = z.string().min(1).max(MAX_NAME_CHARACTERS)
+const keySchema = z.string().min(1).max(MAX_KEY_CHARACTERS)
 const digestSchema = z.string().regex(/^[0-9a-f]{32}$/, 'must be 32 hexadecimal digits')
 
 const messageSchema = z.strictObject({
@@ -21,7 +21,7 @@
   content: z.string().max(MAX_MESSAGE_CHARACTERS)
 })
 
-/** A chat-completions-shaped model call. */
+/** A model call in the format of the chat completions API. */
 const chatSchema = z.strictObject({
   model: nameSchema.optional(),
   messages: z.array(messageSchema).min(1).max(MAX_MESSAGES),
@@ -33,7 +33,7 @@
   name: nameSchema,
   path: z.string().startsWith('/').max(2_048),
   body: z.unknown().optional(),
-  /** True only when running the call twice does no harm. */
+  /** True only if the call may be executed more than once without harm. */
   repeatable: z.boolean().default(false)
 })
 
@@ -43,6 +43,7 @@
   cached_tokens: z.int().nonnegative()
 })
 
+/** One finished step of a program's history. Does not check that one of `chat` and `service` is present. */
 const turnSchema = z.strictObject({
   step: z.int().positive(),
   key: keySchema,
@@ -55,14 +56,16 @@
   ])
 })
 
+/** Body of `POST /v1/programs`. */
 export const openBodySchema = z.strictObject({
   kind: nameSchema,
   key: keySchema,
-  parent: z.string().max(MAX_NAME).optional(),
-  parentCopy: z.strictObject({ kind: nameSchema, history: z.array(turnSchema).max(MAX_TURNS), historyDigest: digestSchema }).optional(),
+  parent: z.string().max(MAX_NAME_CHARACTERS).optional(),
+  parentCopy: z.strictObject({ kind: nameSchema, history: z.array(turnSchema).max(MAX_HISTORY_TURNS), historyDigest: digestSchema }).optional(),
   targetMs: z.int().positive().max(MAX_TIMEOUT_MS * 24).optional()
 })
 
+/** Body of `POST /v1/programs/:id/steps`. */
 export const stepBodySchema = z.strictObject({
   step: z.int().positive(),
   key: keySchema,
@@ -72,14 +75,16 @@
   resend: z.boolean().default(false),
   timeoutMs: z.int().positive().max(MAX_TIMEOUT_MS).default(DEFAULT_TIMEOUT_MS),
   kind: nameSchema.optional(),
-  history: z.array(turnSchema).max(MAX_TURNS).optional()
-}).refine(body => (body.chat === undefined) !== (body.service === undefined), { message: 'exactly one of "chat" and "service" is needed' })
+  history: z.array(turnSchema).max(MAX_HISTORY_TURNS).optional()
+}).refine(body => (body.chat === undefined) !== (body.service === undefined), { message: 'exactly one of "chat" and "service" is required' })
 
+/** Body of `POST /v1/admin/configuration/:environment`. */
 export const applyBodySchema = z.strictObject({
   baseRevision: z.int().nonnegative(),
   document: z.unknown()
 })
 
+/** Body of `POST /v1/admin/promotions`. */
 export const promoteBodySchema = z.strictObject({
   from: nameSchema,
   to: nameSchema,
@@ -91,20 +96,20 @@
 export type StepBody = z.input<typeof stepBodySchema>
 type CheckedStepBody = z.output<typeof stepBodySchema>
 
-/** Turns a checked body into the core's request. */
+/** Converts a checked body to the core's request. */
 export function toOpenRequest (body: OpenBody, customer: string): OpenRequest {
   const { kind, key, parent, targetMs, parentCopy } = body
   const copy = parentCopy === undefined ? undefined : { ...parentCopy, history: parentCopy.history.map(toTurn) }
   return { type: 'open', customer, kind, key, parent, targetMs, parentCopy: copy }
 }
 
-/** Turns the core's request into the body that a client sends. */
+/** Converts the core's request to the body that a client sends. */
 export function fromOpenRequest ({ kind, key, parent, targetMs, parentCopy }: OpenRequest): unknown {
   const copy = parentCopy === undefined ? undefined : { ...parentCopy, history: parentCopy.history.map(toTurnBody) }
   return { kind, key, parent, targetMs, parentCopy: copy }
 }
 
-/** Turns a checked body into the core's request. */
+/** Converts a checked body to the core's request. */
 export function toStepRequest (body: CheckedStepBody, customer: string, programId: string): StepRequest {
   return {
     type: 'step',
@@ -122,7 +127,7 @@
   }
 }
 
-/** Turns the core's request into the body that a client sends. */
+/** Converts the core's request to the body that a client sends; its timeout is rounded up and limited to the range of the schema. */
 export function fromStepRequest (request: StepRequest): StepBody {
   return {
     step: request.step,
@@ -168,9 +173,10 @@
 
 // Replies
 
-/** One HTTP answer. */
+/** An HTTP answer to a caller. */
 export interface HttpReply {
   status: number
+  /** Sent as a `retry-after` header in whole seconds; undefined when the caller need not wait. */
   retryAfterMs?: number
   body: unknown
 }
@@ -194,7 +200,7 @@
 const STATUS_UNKNOWN = 502
 const STATUS_HISTORY_NEEDED = 428
 
-/** Maps a final reply of the core to HTTP. */
+/** Converts a final reply of the core to an HTTP answer. */
 export function toHttpReply (reply: CallerReply): HttpReply {
   switch (reply.type) {
     case 'opened': return { status: 201, body: { outcome: 'opened', ...withoutType(reply) } }
@@ -208,7 +214,7 @@
   }
 }
 
-/** Reads back what `toHttpReply` made; undefined when the body is no reply. */
+/** Converts a body made by `toHttpReply` back to the reply; undefined if the body is not a reply. Only the presence of `outcome` is checked. */
 export function fromHttpBody (body: unknown): CallerReply | undefined {
   if (typeof body !== 'object' || body === null || !('outcome' in body)) return undefined
   const { outcome, ...rest } = body as { outcome: string } & Record<string, unknown>
@@ -273,13 +279,13 @@
 
 // Streaming
 
-/** The server-sent event for a piece of an answer, shaped like a chat-completions chunk. */
+/** The server-sent event for one chunk of an answer, in the format of a chat-completions chunk. */
 export function toChunkEvent (text: string, tokens: number): string {
   const chunk = { object: 'chat.completion.chunk', choices: [{ index: 0, delta: { content: text } }], tokens }
   return `data: ${JSON.stringify(chunk)}\n\n`
 }
 
-/** The server-sent events that end a stream: the outcome, then the end mark. */
+/** The server-sent events that end a stream: the outcome, then `[DONE]`. */
 export function toOutcomeEvents (reply: CallerReply): string {
   return `event: outcome\ndata: ${JSON.stringify(toHttpReply(reply).body)}\n\ndata: [DONE]\n\n`
 }
--- a/packages/protocol/src/common/engineApi.ts
+++ b/packages/protocol/src/common/engineApi.ts
@@ -1,7 +1,8 @@
-/** The wire of model engines: chat completions with a few extensions, load reports, cache release and orders. */
+/** The HTTP interfaces of model engines and tool services: schemas, paths and headers. */
 import { z } from 'zod'
 import type { EngineRequest, EngineStatus } from '@trefoilshunt/core'
 
+/** Body of a chat-completions request, extended by a priority and by the session whose cache is used and retained. */
 export const engineRequestSchema = z.object({
   model: z.string(),
   messages: z.array(z.object({ role: z.enum(['system', 'user', 'assistant', 'tool']), content: z.string() })),
@@ -15,7 +16,7 @@
 /** One chunk of a completion stream; the last one carries the usage. */
 export const engineChunkSchema = z.object({
   choices: z.array(z.object({ delta: z.object({ content: z.string().optional() }), finish_reason: z.string().nullish() })).default([]),
-  /** Tokens in this chunk; one when absent. */
+  /** Number of tokens in this chunk; if absent, the reader estimates it from the length of the text. */
   tokens: z.int().nonnegative().optional(),
   usage: z.object({
     prompt_tokens: z.int().nonnegative(),
@@ -25,6 +26,7 @@
 })
 export type EngineChunk = z.infer<typeof engineChunkSchema>
 
+/** Load of an engine and the sessions in its cache. */
 export const engineStatusSchema: z.ZodType<EngineStatus> = z.object({
   model: z.string(),
   activeRequests: z.int().nonnegative(),
@@ -34,10 +36,12 @@
   heldSessions: z.array(z.object({ session: z.string(), tokens: z.number() }))
 })
 
+/** Changes of an engine's cache, numbered by `sequence`. */
 export const cacheEventsSchema = z.object({
   events: z.array(z.object({ sequence: z.int().nonnegative(), kind: z.enum(['stored', 'evicted']), session: z.string() }))
 })
 
+/** HTTP paths of a model engine. */
 export const ENGINE_PATHS = {
   completions: '/v1/chat/completions',
   status: '/v1/status',
@@ -48,15 +52,16 @@
   load: '/v1/models/load'
 } as const
 
-/** Header of a refusal: the back end has not run the request. */
+/** Header of an answer, `true` if the back end has not run the request. */
 export const NOT_RUN_HEADER = 'x-not-run'
-/** Header of a back end that takes no new work any more. */
+/** Header of an answer, `true` if the back end is being removed and accepts no new work. */
 export const LEAVING_HEADER = 'x-leaving'
-/** Path of a service that tells what became of an idempotency key. */
+/** Path of a service, followed by an idempotency key, that returns the result of the call with this key. */
 export const SERVICE_LOOKUP_PATH = '/calls/'
+/** Header of a call to a service, with which the service recognizes a repeated call. */
 export const IDEMPOTENCY_HEADER = 'idempotency-key'
 
-/** The body that an engine gets. */
+/** Converts the core's request to the body that is sent to an engine. */
 export function toEngineBody (request: EngineRequest): EngineBody {
   return {
     model: request.model,
@@ -68,7 +73,7 @@
   }
 }
 
-/** The core's request behind a checked engine body. */
+/** Converts a checked body to the core's request. */
 export function fromEngineBody (body: EngineBody): EngineRequest {
   return {
     type: 'model',
--- a/packages/protocol/src/common/jsonc.ts
+++ b/packages/protocol/src/common/jsonc.ts
@@ -1,9 +1,9 @@
-/** Reads JSON with comments and reports problems by line and column. */
+/** Parses JSON with comments and reports each problem with line and column. */
 import { type Either, Left, Right } from 'purify-ts'
 import { findNodeAtLocation, type Node, parse, parseTree, type ParseError, printParseErrorCode } from 'jsonc-parser'
 import type { z } from 'zod'
 
-/** One problem in a text. Lines and columns count from 1. */
+/** A problem in a text. Lines and columns are counted from 1. */
 export interface Diagnostic {
   file: string
   line: number
@@ -12,9 +12,9 @@
 }
 
 /**
- * Parses JSONC and checks it against a schema.
+ * Parses JSON with comments and trailing commas and checks it against a schema.
  *
- * @returns the checked value, or every problem with its place in the text.
+ * @returns the checked value, or all problems with their positions in the text. Schema problems are reported only if the syntax is valid.
  * @example
  * parseJsonc('settings.jsonc', text, settingsSchema).mapLeft(problems => problems.map(formatDiagnostic))
  */
@@ -30,17 +30,17 @@
   const tree = parseTree(text, [], options)
   return Left(checked.error.issues.map(issue => {
     const path = issue.path.map(part => typeof part === 'symbol' ? String(part) : part)
-    const where = path.length === 0 ? '' : `${path.join('.')}: `
-    return { file, ...positionOf(text, offsetOf(tree, path)), message: `${where}${issue.message}` }
+    const pathPrefix = path.length === 0 ? '' : `${path.join('.')}: `
+    return { file, ...positionOf(text, offsetOf(tree, path)), message: `${pathPrefix}${issue.message}` }
   }))
 }
 
-/** One line for a person: file, line, column and what is wrong. */
+/** Formats a problem as one readable line, `file:line:column: message`. */
 export function formatDiagnostic ({ file, line, column, message }: Diagnostic): string {
   return `${file}:${line}:${column}: ${message}`
 }
 
-/** Line and column of an offset, from 1. */
+/** Line and column of an offset, counted from 1. */
 export function positionOf (text: string, offset: number): { line: number, column: number } {
   const before = text.slice(0, offset).split('\n')
   return { line: before.length, column: before[before.length - 1].length + 1 }
@@ -50,7 +50,7 @@
   return `not valid JSON: ${printParseErrorCode(error.error)}`
 }
 
-/** The offset of the deepest part of a path that the text has. */
+/** The offset of the deepest node of the path that is in the text; the offset of the root if none is. */
 function offsetOf (tree: Node | undefined, path: Array<string | number>): number {
   for (let length = path.length; length > 0; length--) {
     const node = tree === undefined ? undefined : findNodeAtLocation(tree, path.slice(0, length))
--- a/packages/protocol/src/common/peerApi.ts
+++ b/packages/protocol/src/common/peerApi.ts
@@ -1,20 +1,20 @@
-/** The tRPC router between nodes, and the stream in which a forwarded request is answered. */
+/** The HTTP interface between nodes: the tRPC router for messages, and the format of forwarded requests and their replies. */
 import { initTRPC } from '@trpc/server'
 import { z } from 'zod'
 import type { CallerReply, CallerRequest, PeerEnvelope } from '@trefoilshunt/core'
 
-/** What the host gives to each call. */
+/** Context of each tRPC call, created by the server. */
 export interface PeerContext {
-  /** False for senders that the node does not trust. */
+  /** False if the sender did not send the shared secret; its messages are then dropped. */
   isTrusted: boolean
   onMessages: (envelopes: PeerEnvelope[]) => void
 }
 
-const sender = z.object({ node: z.string(), incarnation: z.string(), address: z.string(), peerAddress: z.string(), zone: z.string() })
+const senderSchema = z.object({ node: z.string(), incarnation: z.string(), address: z.string(), peerAddress: z.string(), zone: z.string() })
 
-/** Checks the frame of a message; its body comes from a node that knows the peers' secret. */
+/** Checks the envelope of a message. The body is not checked beyond its `type`, because the sender knows the shared secret. */
 export const peerEnvelopeSchema = z.object({
-  from: sender,
+  from: senderSchema,
   to: z.string(),
   messageId: z.int(),
   replyTo: z.int().optional(),
@@ -23,8 +23,9 @@
 
 const trpc = initTRPC.context<PeerContext>().create()
 
+/** The procedures that a node offers to its peers. */
 export const peerRouter = trpc.router({
-  /** Takes messages from one peer. */
+  /** Receives messages from one peer; `isTaken` is false if they were dropped because the sender is not trusted. */
   deliver: trpc.procedure
     .input(z.object({ envelopes: z.array(peerEnvelopeSchema).max(1_000) }))
     .mutation(({ input, ctx }) => {
@@ -32,27 +33,31 @@
       return { isTaken: ctx.isTrusted }
     })
 })
+/** Type of the router, for the tRPC client. */
 export type PeerRouter = typeof peerRouter
 
+/** HTTP path for forwarded requests. */
 export const FORWARD_PATH = '/forward'
-/** Header that carries the secret which peers share. */
+/** Header with the secret that all nodes share. */
 export const PEER_SECRET_HEADER = 'x-peer-secret'
 
-/** A caller's request on its way to another node. */
+/** Body of a forwarded request. */
 export interface ForwardBody {
   request: CallerRequest
+  /** Number of times the request has been forwarded, this time included. */
   hops: number
 }
 
-/** One reply as a line of the forward stream. */
+/** Formats a reply as one line of the answer to a forwarded request. */
 export function toReplyLine (reply: CallerReply): string {
   return `${JSON.stringify(reply)}\n`
 }
 
-/** Cuts a stream of reply lines into replies; lines that are no JSON are dropped. */
+/** Parses the answer to a forwarded request. Lines that are not JSON or have no `type` are dropped. */
 export class ReplyLineReader {
   private _pending = ''
 
+  /** Adds received text and returns the replies of the lines that it completes. */
   push (text: string): CallerReply[] {
     const lines = (this._pending + text).split('\n')
     this._pending = lines.pop() ?? ''
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** Wires of trefoilshunt. */
+/** Schemas and parsers of all HTTP interfaces: callers, model engines, tool services, peers and the platform. */
 export * from './common/callerApi.js'
 export * from './common/engineApi.js'
 export * from './common/jsonc.js'
--- a/packages/protocol/test/common/parsers.test.ts
+++ b/packages/protocol/test/common/parsers.test.ts
@@ -1,3 +1,4 @@
+/** Tests parsers and conversions with generated input: none throws, and requests and replies are restored unchanged. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import fc from 'fast-check'
@@ -12,28 +13,28 @@
   fc.record({ type: fc.constant('service' as const), service: fc.constantFrom('shop-ledger'), path: fc.constant('/orders'), body: fc.jsonValue().map(value => JSON.parse(JSON.stringify(value)) as unknown), isRepeatable: fc.boolean() })
 )
 
-test('a problem names line and column', () => {
+test('a problem is reported with line and column', () => {
   const problems = parseJsonc('a.jsonc', '{\n  // comment\n  "port": "x",\n}', z.strictObject({ port: z.number() })).swap().unsafeCoerce()
   assert.match(formatDiagnostic(problems[0]), /^a\.jsonc:3:11: port: /)
   const broken = parseJsonc('b.jsonc', '{\n "a": \n', z.unknown()).swap().unsafeCoerce()
   assert.is(broken[0].line, 3)
 })
 
-test('no text makes the JSONC reader throw', () => {
+test('the JSONC parser never throws', () => {
   const schema = z.strictObject({ a: z.array(z.strictObject({ b: z.number() })) })
   fc.assert(fc.property(fc.string(), text => { parseJsonc('f', text, schema) }), RUNS)
   fc.assert(fc.property(fc.json(), text => { parseJsonc('f', text, schema) }), RUNS)
 })
 
-test('no value makes the document check throw', () => {
+test('the document check never throws', () => {
   fc.assert(fc.property(fc.jsonValue(), value => { parseDocument(value) }), RUNS)
 })
 
-test('no body makes the step schema throw', () => {
+test('the step schema never throws', () => {
   fc.assert(fc.property(fc.jsonValue(), value => { stepBodySchema.safeParse(value) }), RUNS)
 })
 
-test('a step request survives the wire', () => {
+test('a step request is unchanged after conversion to HTTP and back', () => {
   fc.assert(fc.property(callArbitrary, fc.boolean(), fc.boolean(), (call, isResend, isStreamed) => {
     const request: StepRequest = { type: 'step', customer: 'riders', programId: 'p', step: 3, key: 'k', historyDigest: DIGEST, call, isResend, isStreamed: isStreamed && call.type === 'model', timeoutMs: 5_000 }
     const back = toStepRequest(stepBodySchema.parse(JSON.parse(JSON.stringify(fromStepRequest(request)))), 'riders', 'p')
@@ -41,12 +42,12 @@
   }), RUNS)
 })
 
-test('an answer survives the wire', () => {
+test('a reply is unchanged after conversion to HTTP and back', () => {
   const done: Done = { type: 'done', programId: 'p', step: 1, result: { type: 'model', text: 'hello', promptTokens: 3, completionTokens: 2, cachedTokens: 1 }, historyDigest: DIGEST, durable: true, home: { node: 'n', incarnation: 'i', address: 'a' } }
   assert.equal(fromHttpBody(JSON.parse(JSON.stringify(toHttpReply(done).body))), done)
 })
 
-test('server-sent events are the same however the stream is cut', () => {
+test('server-sent events are the same for any split of the stream', () => {
   const stream = 'data: one\n\nevent: outcome\ndata: {"a":1}\ndata: more\n\n: comment\n\ndata: [DONE]\n\n'
   const whole = new EventStreamReader().push(stream)
   fc.assert(fc.property(fc.array(fc.nat(stream.length), { maxLength: 12 }), cuts => {
@@ -57,7 +58,7 @@
   }), RUNS)
 })
 
-test('no text makes the stream readers throw', () => {
+test('the stream parsers never throw', () => {
   fc.assert(fc.property(fc.array(fc.string()), pieces => {
     const events = new EventStreamReader()
     const lines = new ReplyLineReader()
@@ -68,7 +69,7 @@
   }), RUNS)
 })
 
-test('replies survive the forward stream, damaged lines are dropped', () => {
+test('replies are restored from the forward stream and damaged lines are dropped', () => {
   const reader = new ReplyLineReader()
   const line = toReplyLine({ type: 'closed', programId: 'p' })
   assert.equal(reader.push(`{broken\n${line.slice(0, 5)}`), [])
