--- a/packages/client/src/common/client.ts
+++ b/packages/client/src/common/client.ts
@@ -1,42 +1,45 @@
-/** The caller library: opens programs and runs their steps through failures. */
+/** The client library for callers: opens programs, runs their steps and retries after failures. */
 import { type Either, Left, Right } from 'purify-ts'
 import { type CallerReply, type Done, type NotRun, type OpenRequest, Reason, type StepCall, type StepRequest, type StepResult, type Turn, type Unknown } from '@trefoilshunt/core'
 import { AddressBook } from './addressBook.js'
-import { sendWatched } from './livenessCheck.js'
+import { sendWithLivenessCheck } from './livenessCheck.js'
 import type { ICallerTransport, IClientHost } from './transport.js'
 
 const BACKOFF_BASE_MS = 150
 const BACKOFF_MAX_MS = 3_000
+/** Time beyond the timeout of a step in which the node's own reply about the timeout may arrive. */
 const SEND_MARGIN_MS = 2_000
 const DEFAULT_STEP_TIMEOUT_MS = 60_000
 const DEFAULT_OPEN_TIMEOUT_MS = 10_000
-/** Times that the fate of a non-repeatable step is asked for before `unknown` is final. */
-const UNKNOWN_ROUNDS = 4
+/** Number of replies with reason `answerLost` after which the outcome `unknown` of a step is final. */
+const MAX_ANSWER_LOST_REPLIES = 4
 
-/** Reasons after which the same request may succeed a little later. */
-const PASSING_REASONS: ReadonlySet<Reason> = new Set([
+/** Reasons for which the same request may succeed later. */
+const TRANSIENT_REASONS: ReadonlySet<Reason> = new Set([
   Reason.NotReady, Reason.OwnerMoved, Reason.OwnerUnreachable, Reason.LogUnavailable, Reason.NoBackend, Reason.EngineFailed,
   Reason.Draining, Reason.BusyStep, Reason.Cancelled
 ])
 
-/** Reasons after which sending the same request again changes nothing. */
+/** Reasons for which a retry of the same request has the same result. */
 const FINAL_REASONS: ReadonlySet<Reason> = new Set([
   Reason.Expired, Reason.BudgetExceeded, Reason.Closed, Reason.KeyReused, Reason.HistoryMismatch, Reason.Quarantined, Reason.NotFound,
   Reason.UnknownBackend, Reason.UnknownKind
 ])
 
+/** Settings and dependencies of a client. */
 export interface ClientOptions {
   customer: string
   transport: ICallerTransport
   host: IClientHost
-  /** Addresses of some nodes, to begin with. */
+  /** Addresses (host:port) of some nodes, used until the first refresh; at least one. */
   seeds: string[]
+  /** Availability zone of the caller, sent with each query for addresses. */
   zone?: string
-  /** Sees every attempt and its reply; tests record them. */
+  /** Called after every attempt to open a program or run a step; tests use it to record them. */
   onAttempt?: (attempt: AttemptRecord) => void
 }
 
-/** One request as sent, and what came back. */
+/** One request as it was sent, with its reply or its failure. Times are those of the client host. */
 export interface AttemptRecord {
   address: string
   request: OpenRequest | StepRequest
@@ -46,26 +49,33 @@
   failure?: { wasSent: boolean, detail: string }
 }
 
+/** Options of a new program. */
 export interface OpenOptions {
+  /** Work kind of the program. */
   kind: string
   /** The program that starts this one as its sub-agent. */
   parent?: ProgramSession
+  /** Time in which the program should finish; undefined for the default of its kind. Ignored for a sub-agent, which has the due time of its parent. */
   targetMs?: number
+  /** Time after which no further attempt is made; 10 s by default. */
   timeoutMs?: number
-  /** Try again, after the time that a refusal names, until the timeout. */
+  /** Whether to retry refusals because of overload until the timeout, after the delay named in the refusal. */
   retriesOverload?: boolean
 }
 
+/** Options of one step. */
 export interface StepOptions {
+  /** Total time for all attempts; 60 s by default. */
   timeoutMs?: number
+  /** Called with the whole text of the current attempt so far. A later attempt starts again with an empty text. */
   onChunk?: (text: string) => void
 }
 
-/** Why a request has no result: the last reply, or the lack of one. */
+/** Why a request has no result: the last reply, or that no node replied. */
 export type ClientError = NotRun | Unknown | { type: 'unreachable', detail: string, wasSent: boolean }
 
 /**
- * Connects a caller to the fleet.
+ * A client of the fleet for one customer.
  *
  * @example
  * const client = new Client({ customer: 'harrow', transport, host, seeds: ['127.0.0.1:7300'] })
@@ -81,7 +91,10 @@
     this.addresses = new AddressBook(options)
   }
 
-  /** Opens a program; an overload refusal is returned at once unless `retriesOverload` is set. */
+  /**
+   * Opens a program. Failures that may be transient are retried until the timeout; a refusal because of overload is returned at once
+   * unless `retriesOverload` is set. If the node does not have the parent's history, the client sends it once.
+   */
   async open (options: OpenOptions): Promise<Either<ClientError, ProgramSession>> {
     const { host, customer } = this.options
     const deadlineMs = host.nowMs() + (options.timeoutMs ?? DEFAULT_OPEN_TIMEOUT_MS)
@@ -92,25 +105,25 @@
       const attempt = await this.attempt(address, request, { timeoutMs: DEFAULT_OPEN_TIMEOUT_MS })
       const reply = attempt.reply
       if (reply?.type === 'historyNeeded' && options.parent !== undefined && request.parentCopy === undefined) {
-        request.parentCopy = options.parent.copy()
+        request.parentCopy = options.parent.createParentCopy()
         continue
       }
       if (reply?.type === 'opened') return Right(new ProgramSession(this, options.kind, reply.programId, reply.home.address, reply.historyDigest))
       failure = toError(attempt)
-      const mayPass = reply === undefined || (reply.type === 'notRun' && PASSING_REASONS.has(reply.reason)) || reply.type === 'unknown' ||
+      const mayRetryOpen = reply === undefined || (reply.type === 'notRun' && TRANSIENT_REASONS.has(reply.reason)) || reply.type === 'unknown' ||
         (options.retriesOverload === true && reply.type === 'notRun' && reply.reason === Reason.Overloaded)
-      if (!mayPass) return Left(failure)
+      if (!mayRetryOpen) return Left(failure)
       if (reply === undefined || (reply.type === 'notRun' && reply.reason === Reason.Draining)) this.addresses.recordFailure(address)
       await this.backOff(round, reply)
     }
     return Left(failure)
   }
 
-  /** Sends one request and reports it to the observer. */
+  /** Sends one request, without retries, and reports it to `onAttempt`. */
   async attempt (address: string, request: OpenRequest | StepRequest, options: { timeoutMs: number, onChunk?: (text: string, tokens: number) => void }): Promise<AttemptRecord> {
     const { host, transport, onAttempt } = this.options
     const sentAtMs = host.nowMs()
-    const result = await sendWatched(transport, host, address, request, options)
+    const result = await sendWithLivenessCheck(transport, host, address, request, options)
     const attempt: AttemptRecord = { address, request, sentAtMs, endedAtMs: host.nowMs() }
     if (result.type === 'reply') attempt.reply = result.reply
     else attempt.failure = { wasSent: result.wasSent, detail: result.detail }
@@ -118,15 +131,15 @@
     return attempt
   }
 
-  /** Waits before the next attempt: as long as the reply says, or exponentially longer with jitter. */
+  /** Waits before the next attempt: for the delay named in the reply, or for an exponentially growing delay. Both have a jitter of 25 %. */
   async backOff (round: number, reply: CallerReply | undefined): Promise<void> {
     const { host } = this.options
-    const named = reply !== undefined && 'retryAfterMs' in reply ? reply.retryAfterMs : undefined
+    const requestedDelayMs = reply !== undefined && 'retryAfterMs' in reply ? reply.retryAfterMs : undefined
     const exponentialMs = Math.min(BACKOFF_MAX_MS, BACKOFF_BASE_MS * 2 ** round)
-    await host.sleep((named ?? exponentialMs) * (0.75 + host.random() / 2))
+    await host.sleep((requestedDelayMs ?? exponentialMs) * (0.75 + host.random() / 2))
   }
 
-  /** A key that no other request of this client has. */
+  /** Creates a key that no other request of this client has. */
   nextKey (): string {
     this._lastKey++
     const salt = Math.floor(this.options.host.random() * 0x1_0000_0000).toString(36)
@@ -134,54 +147,61 @@
   }
 }
 
-/** What a step came to. */
+/** Result of a step. */
 export interface StepOutcome {
   result: StepResult
   historyDigest: string
+  /** Whether the result was stored in the log before the reply. */
   durable: boolean
 }
 
-/** An open program: numbers its steps, keeps its history, resends with the same key. */
+/** An open program: numbers its steps, keeps their history and resends a step with the same key. */
 export class ProgramSession {
+  /** The finished steps in order. */
   readonly turns: Turn[] = []
-  private _home: string | undefined
+  private _preferredAddress: string | undefined
 
   constructor (
     private readonly _client: Client,
     readonly kind: string,
     readonly programId: string,
-    home: string,
+    ownerAddress: string,
     private _historyDigest: string
   ) {
-    this._home = home
+    this._preferredAddress = ownerAddress
   }
 
+  /** Digest of the history, as computed by the fleet. */
   get historyDigest (): string {
     return this._historyDigest
   }
 
-  /** Address of the node that answered last, if it is still trusted. */
+  /**
+   * Address that the next request is sent to: that of the owner named by the last reply, or the one set with `useAddress`.
+   * Undefined after a failure; the address book then selects one.
+   */
   get home (): string | undefined {
-    return this._home
+    return this._preferredAddress
   }
 
-  /** Sends the next step to this address, whether or not it is the program's home. */
+  /** Sends the next request to this address, whether or not it is that of the program's owner. */
   useAddress (address: string): void {
-    this._home = address
+    this._preferredAddress = address
   }
 
-  /** What the caller knows of the program, for a node that has lost it. */
-  copy (): { kind: string, history: Turn[], historyDigest: string } {
+  /** The history as the caller has it, for a node that does not have it when a sub-agent is opened. */
+  createParentCopy (): { kind: string, history: Turn[], historyDigest: string } {
     return { kind: this.kind, history: [...this.turns], historyDigest: this._historyDigest }
   }
 
+  /** Number of the next step; the first one is 1. */
   get nextStep (): number {
     return this.turns.length + 1
   }
 
   /**
-   * Runs the next step to its end, through lost connections and moved homes. An `unknown` result of a non-repeatable
-   * call is final; the program may go on after it.
+   * Runs the next step and retries it after lost connections and changes of the program's owner. An `unknown` result of a non-repeatable
+   * call is final; the program may continue after it.
    */
   async step (call: StepCall, options: StepOptions = {}): Promise<Either<ClientError, StepOutcome>> {
     const { host, customer } = this._client.options
@@ -201,11 +221,11 @@
       kind: this.kind
     }
     let failure: ClientError = { type: 'unreachable', detail: 'no node answered', wasSent: false }
-    let unknownRounds = 0
+    let answerLostReplies = 0
     for (let round = 0; host.nowMs() < deadlineMs; round++) {
       const attempt = await this._send(request, deadlineMs, options)
       const { reply } = attempt
-      if (reply?.type === 'done') return Right(this._record(request, reply))
+      if (reply?.type === 'done') return Right(this._recordTurn(request, reply))
       if (reply?.type === 'historyNeeded') {
         request.history = [...this.turns]
         continue
@@ -213,25 +233,25 @@
       failure = toError(attempt)
       const mayHaveRun = reply === undefined ? attempt.failure?.wasSent === true : reply.type === 'unknown'
       if (mayHaveRun) request.isResend = true
-      if (reply?.type === 'unknown' && isFateUnknown(reply)) unknownRounds++
-      if (unknownRounds >= UNKNOWN_ROUNDS) return this._recordUnknown(request, failure)
-      if (!mayTryAgain(reply)) return Left(failure)
+      if (reply?.type === 'unknown' && isAnswerLost(reply)) answerLostReplies++
+      if (answerLostReplies >= MAX_ANSWER_LOST_REPLIES) return this._recordUnknownTurn(request, failure)
+      if (!mayRetry(reply)) return Left(failure)
       await this._client.backOff(Math.min(round, 5), reply)
     }
-    return this._recordUnknown(request, failure)
+    return this._recordUnknownTurn(request, failure)
   }
 
-  /** Closes the program; the fleet releases what it holds for it. */
+  /** Closes the program; the fleet releases the resources that it holds for it. False if the program is not found or 5 attempts failed. */
   async close (): Promise<boolean> {
     const { transport, customer } = this._client.options
     for (let round = 0; round < 5; round++) {
-      const address = this._home ?? await this._client.addresses.resolve()
+      const address = this._preferredAddress ?? await this._client.addresses.resolve()
       const result = await transport.send(address, { type: 'close', customer, programId: this.programId }, { timeoutMs: DEFAULT_OPEN_TIMEOUT_MS })
       const reply = result.type === 'reply' ? result.reply : undefined
       if (reply?.type === 'closed') return true
-      const isGone = reply?.type === 'notRun' && reply.reason === Reason.NotFound
-      if (isGone) return false
-      this._forgetHome(address)
+      const isNotFound = reply?.type === 'notRun' && reply.reason === Reason.NotFound
+      if (isNotFound) return false
+      this._clearPreferredAddress(address)
       await this._client.backOff(round, reply)
     }
     return false
@@ -239,7 +259,7 @@
 
   private async _send (request: StepRequest, deadlineMs: number, options: StepOptions): Promise<AttemptRecord> {
     const { host } = this._client.options
-    const address = this._home ?? await this._client.addresses.resolve()
+    const address = this._preferredAddress ?? await this._client.addresses.resolve()
     request.timeoutMs = Math.max(1, deadlineMs - host.nowMs())
     let text = ''
     const onChunk = options.onChunk === undefined
@@ -249,25 +269,25 @@
           options.onChunk?.(text)
         }
     const attempt = await this._client.attempt(address, { ...request }, { timeoutMs: request.timeoutMs + SEND_MARGIN_MS, onChunk })
-    const isLost = attempt.reply === undefined || attempt.reply.type === 'unknown' || (attempt.reply.type === 'notRun' && PASSING_REASONS.has(attempt.reply.reason))
-    if (isLost) this._forgetHome(address)
+    const mustChangeAddress = attempt.reply === undefined || attempt.reply.type === 'unknown' || (attempt.reply.type === 'notRun' && TRANSIENT_REASONS.has(attempt.reply.reason))
+    if (mustChangeAddress) this._clearPreferredAddress(address)
     return attempt
   }
 
-  private _forgetHome (address: string): void {
+  private _clearPreferredAddress (address: string): void {
     this._client.addresses.recordFailure(address)
-    this._home = undefined
+    this._preferredAddress = undefined
   }
 
-  private _record (request: StepRequest, reply: Done): StepOutcome {
+  private _recordTurn (request: StepRequest, reply: Done): StepOutcome {
     this.turns.push({ step: request.step, key: request.key, call: request.call, result: reply.result })
     this._historyDigest = reply.historyDigest
-    this._home = reply.home.address
+    this._preferredAddress = reply.home.address
     return { result: reply.result, historyDigest: reply.historyDigest, durable: reply.durable }
   }
 
-  /** Lets the program go on behind a non-repeatable step of unknown fate. */
-  private _recordUnknown (request: StepRequest, failure: ClientError): Either<ClientError, StepOutcome> {
+  /** Records a non-repeatable step with an unknown outcome in the history, so that the program can continue; other failures are returned. */
+  private _recordUnknownTurn (request: StepRequest, failure: ClientError): Either<ClientError, StepOutcome> {
     const isRecordable = failure.type === 'unknown' && failure.historyDigest !== undefined && isNonRepeatable(request.call)
     if (!isRecordable || failure.type !== 'unknown') return Left(failure)
     this.turns.push({ step: request.step, key: request.key, call: request.call, result: { type: 'unknown' } })
@@ -280,14 +300,14 @@
   return call.type === 'service' && !call.isRepeatable
 }
 
-function isFateUnknown (reply: Unknown): boolean {
+function isAnswerLost (reply: Unknown): boolean {
   return reply.reason === Reason.AnswerLost
 }
 
-function mayTryAgain (reply: CallerReply | undefined): boolean {
+function mayRetry (reply: CallerReply | undefined): boolean {
   if (reply === undefined) return true
   if (reply.type === 'unknown') return !FINAL_REASONS.has(reply.reason)
-  return reply.type === 'notRun' && PASSING_REASONS.has(reply.reason)
+  return reply.type === 'notRun' && TRANSIENT_REASONS.has(reply.reason)
 }
 
 function toError (attempt: AttemptRecord): ClientError {
--- a/packages/client/src/common/livenessCheck.ts
+++ b/packages/client/src/common/livenessCheck.ts
@@ -1,47 +1,50 @@
-/** Finds out that a node has stopped answering while its connections stay open. */
+/** Detects that a node no longer responds although its connections are still open. */
 import type { ICallerTransport, IClientHost, SendOptions, TransportResult } from './transport.js'
 import type { CallerRequest } from '@trefoilshunt/core'
 
-const SILENCE_MS = 4_000
+/** Time without a chunk after which the node is checked, and the period of the checks. */
+const NO_RESPONSE_MS = 4_000
 const CHECK_TIMEOUT_MS = 2_000
-const FAILURES_TO_GIVE_UP = 2
+const MAX_FAILED_CHECKS = 2
 
-/** Sends a request; while it is silent for long, small queries test the node, and when they fail the request is given up. */
-export async function sendWatched (transport: ICallerTransport, host: IClientHost, address: string, request: CallerRequest, options: SendOptions): Promise<TransportResult> {
-  const watch = { isOver: false, lastSignMs: host.nowMs(), abort: () => {} }
+/** Sends a request. While no chunk arrives, checks the node with short queries and aborts the request when they fail repeatedly. */
+export async function sendWithLivenessCheck (transport: ICallerTransport, host: IClientHost, address: string, request: CallerRequest, options: SendOptions): Promise<TransportResult> {
+  const pending = { isOver: false, lastResponseMs: host.nowMs(), abort: () => {} }
   const sent = transport.send(address, request, {
     ...options,
     onChunk: options.onChunk === undefined
       ? undefined
       : (text, tokens) => {
-          watch.lastSignMs = host.nowMs()
+          pending.lastResponseMs = host.nowMs()
           options.onChunk?.(text, tokens)
         },
-    onAbort: abort => { watch.abort = abort }
+    onAbort: abort => { pending.abort = abort }
   })
-  void watchNode(transport, host, address, watch)
+  void checkLiveness(transport, host, address, pending)
   const result = await sent
-  watch.isOver = true
+  pending.isOver = true
   return result
 }
 
-interface Watch {
+/** A request whose node is being checked. */
+interface PendingRequest {
   isOver: boolean
-  lastSignMs: number
+  /** When it was sent, or when its last chunk arrived. */
+  lastResponseMs: number
   abort: () => void
 }
 
-async function watchNode (transport: ICallerTransport, host: IClientHost, address: string, watch: Watch): Promise<void> {
-  let failures = 0
+async function checkLiveness (transport: ICallerTransport, host: IClientHost, address: string, pending: PendingRequest): Promise<void> {
+  let failedChecks = 0
   for (;;) {
-    await host.sleep(SILENCE_MS)
-    if (watch.isOver) return
-    if (host.nowMs() - watch.lastSignMs < SILENCE_MS) continue
+    await host.sleep(NO_RESPONSE_MS)
+    if (pending.isOver) return
+    if (host.nowMs() - pending.lastResponseMs < NO_RESPONSE_MS) continue
     const result = await transport.send(address, { type: 'addresses' }, { timeoutMs: CHECK_TIMEOUT_MS })
-    if (watch.isOver) return
-    failures = result.type === 'reply' ? 0 : failures + 1
-    if (failures >= FAILURES_TO_GIVE_UP) {
-      watch.abort()
+    if (pending.isOver) return
+    failedChecks = result.type === 'reply' ? 0 : failedChecks + 1
+    if (failedChecks >= MAX_FAILED_CHECKS) {
+      pending.abort()
       return
     }
   }
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,4 +1,4 @@
-/** The caller library. */
+/** Exports of the client library for callers. */
 export * from './common/addressBook.js'
 export * from './common/client.js'
 export * from './common/transport.js'
--- a/packages/client/src/node/httpTransport.ts
+++ b/packages/client/src/node/httpTransport.ts
@@ -1,4 +1,4 @@
-/** Reaches nodes over the HTTP caller API. */
+/** The transport of the client library over the HTTP caller API. */
 import { Agent, request as sendRequest, type Dispatcher } from 'undici'
 import type { CallerReply, CallerRequest } from '@trefoilshunt/core'
 import { EventStreamReader, fromHttpBody, fromOpenRequest, fromStepRequest } from '@trefoilshunt/protocol'
@@ -6,8 +6,10 @@
 
 const CONNECT_TIMEOUT_MS = 1_000
 const CONNECTIONS_PER_NODE = 256
-const UNTOUCHED_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EADDRNOTAVAIL'])
+/** Codes of errors that occur before any byte of the request is sent. */
+const UNSENT_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EADDRNOTAVAIL'])
 
+/** Options of an HTTP transport. */
 export interface HttpTransportOptions {
   /** Bearer key of the customer or operator. */
   key: string
@@ -44,26 +46,28 @@
       })
       const isStream = String(response.headers['content-type'] ?? '').startsWith('text/event-stream')
       const reply = isStream ? await readStream(response, options) : fromHttpBody(await response.body.json())
-      if (reply === undefined) return { type: 'failed', wasSent: true, detail: 'the answer broke off' }
+      if (reply === undefined) return { type: 'failed', wasSent: true, detail: 'the answer ended without a final reply' }
       return { type: 'reply', reply }
     } catch (error) {
       const { code, message } = error as { code?: string, message: string }
-      return { type: 'failed', wasSent: !UNTOUCHED_CODES.has(code ?? ''), detail: `${code ?? ''} ${message}`.trim() }
+      return { type: 'failed', wasSent: !UNSENT_CODES.has(code ?? ''), detail: `${code ?? ''} ${message}`.trim() }
     }
   }
 
+  /** Closes all connections; requests in progress fail. */
   async close (): Promise<void> {
     await this._agent.destroy()
   }
 }
 
-/** Time and chance of the real world for the client library. */
+/** The system clock and random numbers for the client library. */
 export const realClientHost: IClientHost = {
   nowMs: () => Date.now(),
   sleep: async ms => await new Promise(resolve => setTimeout(resolve, ms)),
   random: () => Math.random()
 }
 
+/** Reports each chunk and returns the final reply; undefined if the stream ends without one. */
 async function readStream (response: Dispatcher.ResponseData, options: SendOptions): Promise<CallerReply | undefined> {
   const reader = new EventStreamReader()
   const decoder = new TextDecoder()
@@ -71,18 +75,18 @@
   for await (const bytes of response.body) {
     for (const event of reader.push(decoder.decode(bytes as Uint8Array, { stream: true }))) {
       if (event.event === 'outcome') reply = fromHttpBody(JSON.parse(event.data))
-      else if (event.data !== '[DONE]') noteChunk(event.data, options)
+      else if (event.data !== '[DONE]') reportChunk(event.data, options)
     }
   }
   return reply
 }
 
-function noteChunk (data: string, options: SendOptions): void {
+function reportChunk (data: string, options: SendOptions): void {
   const chunk = JSON.parse(data) as { choices: Array<{ delta: { content: string } }>, tokens: number }
   options.onChunk?.(chunk.choices[0].delta.content, chunk.tokens)
 }
 
-/** The HTTP request that carries a core request. */
+/** Converts a request of the core to an HTTP request. */
 function toHttpCall (request: CallerRequest): HttpCall {
   switch (request.type) {
     case 'open': return { method: 'POST', path: '/v1/programs', body: fromOpenRequest(request) }
