--- a/packages/node/bin/trefoilshuntd.js
+++ b/packages/node/bin/trefoilshuntd.js
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// A stop that arrives while the modules are still loaded ends the process as a planned stop with nothing to do.
+// A stop signal that arrives while the modules are still being loaded exits with code 0: nothing has been started yet.
 const stopEarly = () => process.exit(0)
 process.on('SIGTERM', stopEarly)
 process.on('SIGINT', stopEarly)
--- a/packages/node/src/common/logLine.ts
+++ b/packages/node/src/common/logLine.ts
@@ -1,11 +1,12 @@
-/** Formats log events as one line of key=value pairs. */
+/** Formats a log event as one line of key=value pairs. */
 import type { LogFields } from '@trefoilshunt/core'
 
-/** Fields whose values must never be written. */
+/** Fields that hold secrets; their values are written as `***`. */
 const SECRET_FIELDS = new Set(['authorization', 'key', 'peerSecret'])
 
 /**
- * Makes the line of one event.
+ * Formats one event as a line without a line break. Fields that are undefined are left out; empty values and values with
+ * spaces, quotes or equals signs are written as JSON strings.
  *
  * @example
  * formatLogLine('info', 'drainStarted', { programs: 3 }, '1970-01-01T00:00:00.000Z')
--- a/packages/node/src/common/metrics.ts
+++ b/packages/node/src/common/metrics.ts
@@ -1,7 +1,8 @@
 /** Counters and latency histograms in the Prometheus text format. */
 import hdr from 'hdr-histogram-js'
 
-const HIGHEST_MS = 3_600_000
+/** Longer durations are recorded in the histogram as this one. */
+const MAX_TRACKABLE_MS = 3_600_000
 const SIGNIFICANT_DIGITS = 2
 const QUANTILES = [0.5, 0.9, 0.95, 0.99]
 const PREFIX = 'trefoilshunt_'
@@ -14,30 +15,30 @@
   sumMs: number
 }
 
-/** The metrics of one process. */
+/** The counters and duration summaries of one process. */
 export class Metrics {
   private readonly _counters = new Map<string, Map<string, { labels: Labels, value: number }>>()
   private readonly _histograms = new Map<string, Map<string, HistogramSeries>>()
 
-  /** Adds to a counter. */
+  /** Adds `amount` to a counter; a counter exists from its first use. */
   count (name: string, labels: Labels = {}, amount = 1): void {
-    const series = resolve(this._counters, name, () => new Map<string, { labels: Labels, value: number }>())
-    resolve(series, formatLabels(labels), () => ({ labels, value: 0 })).value += amount
+    const series = getOrCreate(this._counters, name, () => new Map<string, { labels: Labels, value: number }>())
+    getOrCreate(series, formatLabels(labels), () => ({ labels, value: 0 })).value += amount
   }
 
-  /** Adds a duration to a histogram. */
+  /** Records a duration, which is rendered as a Prometheus summary with quantiles. */
   observeMs (name: string, durationMs: number, labels: Labels = {}): void {
-    const series = resolve(this._histograms, name, () => new Map<string, HistogramSeries>())
-    const entry = resolve(series, formatLabels(labels), () => ({
+    const series = getOrCreate(this._histograms, name, () => new Map<string, HistogramSeries>())
+    const entry = getOrCreate(series, formatLabels(labels), () => ({
       labels,
-      histogram: hdr.build({ highestTrackableValue: HIGHEST_MS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS }),
+      histogram: hdr.build({ highestTrackableValue: MAX_TRACKABLE_MS, numberOfSignificantValueDigits: SIGNIFICANT_DIGITS }),
       sumMs: 0
     }))
-    entry.histogram.recordValue(Math.min(HIGHEST_MS, Math.max(0, Math.round(durationMs))))
+    entry.histogram.recordValue(Math.min(MAX_TRACKABLE_MS, Math.max(0, Math.round(durationMs))))
     entry.sumMs += durationMs
   }
 
-  /** The text that a scraper gets; `gauges` are read at that moment. */
+  /** Renders all metrics in the Prometheus text format; `gauges` holds the current value of each gauge by name. */
   render (gauges: Record<string, number>): string {
     const lines: string[] = []
     for (const [name, value] of Object.entries(gauges)) lines.push(`# TYPE ${PREFIX}${name} gauge`, `${PREFIX}${name} ${value}`)
@@ -67,7 +68,7 @@
   return pairs.length === 0 ? '' : `{${pairs.join(',')}}`
 }
 
-function resolve<K, V> (map: Map<K, V>, key: K, create: () => V): V {
+function getOrCreate<K, V> (map: Map<K, V>, key: K, create: () => V): V {
   let value = map.get(key)
   if (value === undefined) {
     value = create()
--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon as a library: the command line and tests run nodes in one process. */
+/** Exports of the daemon for the command line and for tests, which run several nodes in one process. */
 export * from './common/settings.js'
 export * from './node/daemon.js'
 export { BackendClient } from './node/backendClient.js'
--- a/packages/node/src/node/callerServer.ts
+++ b/packages/node/src/node/callerServer.ts
@@ -5,34 +5,43 @@
 import type { CallerReply, CallerRequest } from '@trefoilshunt/core'
 import { applyBodySchema, type HttpReply, openBodySchema, promoteBodySchema, stepBodySchema, toChunkEvent, toHttpReply, toOpenRequest, toOutcomeEvents, toStepRequest } from '@trefoilshunt/protocol'
 import type { Settings } from '../common/settings.js'
-import { resolveOwner } from './credentials.js'
+import { resolvePrincipal } from './credentials.js'
 import { readBody } from './readBody.js'
 
 const DEFAULT_AUDIT_LIMIT = 100
 const MAX_AUDIT_LIMIT = 500
-const MAX_PROGRAM_ID = 128
+const MAX_PROGRAM_ID_CHARACTERS = 128
 const SOCKET_IDLE_MS = 60_000
 
+/** Dependencies of the caller server. */
 export interface CallerServerOptions {
   settings: Settings
-  /** Hands a request to the kernel; returns the function to call when the caller goes away. */
+  /** Passes a request to the kernel; returns the function to call when the caller disconnects before the final reply. */
   onRequest: (request: CallerRequest, reply: (reply: CallerReply) => void) => () => void
+  /** Result of `/readyz`. */
   isReady: () => boolean
+  /** Text of `/metrics`, in the Prometheus format. */
   renderMetrics: () => string
+  /** Called with each answered request; requests that are rejected before they reach the kernel are not counted. */
   onAnswered: (route: string, status: number, durationMs: number) => void
 }
 
 /** A request whose credentials have been checked. */
-interface Context {
+interface RequestContext {
   request: IncomingMessage
   response: ServerResponse
-  owner: string
+  /** Name of the customer or operator whose key was sent. */
+  principal: string
   params: Record<string, string>
   query: URLSearchParams
 }
 
-type Route = (context: Context) => Promise<void> | void
+type Route = (context: RequestContext) => Promise<void> | void
 
+/**
+ * Creates the HTTP server of the caller API. The caller of this function starts it with `listen`. Keys of customers open the program
+ * paths and keys of operators the `/v1/admin` paths; health, readiness and metrics need no key.
+ */
 export function createCallerServer (options: CallerServerOptions): Server {
   const { settings } = options
   const app = new App({ noMatchHandler: (_request, response) => sendError(response, 404, 'no such path') })
@@ -40,19 +49,19 @@
   app.get('/healthz', (_request, response) => sendText(response, 200, 'ok\n'))
   app.get('/readyz', (_request, response) => sendText(response, options.isReady() ? 200 : 503, options.isReady() ? 'ready\n' : 'not ready\n'))
   app.get('/metrics', (_request, response) => sendText(response, 200, options.renderMetrics()))
-  const customer = (route: Route) => withOwner(settings.credentials.customers, route)
-  const operator = (route: Route) => withOwner(settings.credentials.operators, route)
-  app.get('/v1/addresses', customer(context => handlers.addresses(context)))
-  app.post('/v1/programs', customer(async context => await handlers.open(context)))
-  app.get('/v1/programs/:id', customer(context => handlers.program(context)))
-  app.delete('/v1/programs/:id', customer(context => handlers.close(context)))
-  app.post('/v1/programs/:id/steps', customer(async context => await handlers.step(context)))
-  app.post('/v1/programs/:id/steps/:step/cancel', customer(context => handlers.cancel(context)))
-  app.get('/v1/admin/configuration', operator(context => handlers.configuration(context)))
-  app.post('/v1/admin/configuration/:environment', operator(async context => await handlers.apply(context)))
-  app.post('/v1/admin/promotions', operator(async context => await handlers.promote(context)))
-  app.get('/v1/admin/audit', operator(context => handlers.audit(context)))
-  app.get('/v1/admin/programs', operator(context => handlers.programs(context)))
+  const forCustomers = (route: Route) => requireCredential(settings.credentials.customers, route)
+  const forOperators = (route: Route) => requireCredential(settings.credentials.operators, route)
+  app.get('/v1/addresses', forCustomers(context => handlers.addresses(context)))
+  app.post('/v1/programs', forCustomers(async context => await handlers.open(context)))
+  app.get('/v1/programs/:id', forCustomers(context => handlers.program(context)))
+  app.delete('/v1/programs/:id', forCustomers(context => handlers.close(context)))
+  app.post('/v1/programs/:id/steps', forCustomers(async context => await handlers.step(context)))
+  app.post('/v1/programs/:id/steps/:step/cancel', forCustomers(context => handlers.cancel(context)))
+  app.get('/v1/admin/configuration', forOperators(context => handlers.configuration(context)))
+  app.post('/v1/admin/configuration/:environment', forOperators(async context => await handlers.apply(context)))
+  app.post('/v1/admin/promotions', forOperators(async context => await handlers.promote(context)))
+  app.get('/v1/admin/audit', forOperators(context => handlers.audit(context)))
+  app.get('/v1/admin/programs', forOperators(context => handlers.programs(context)))
   const server = createServer({ maxHeaderSize: settings.limits.headerBytes, keepAliveTimeout: SOCKET_IDLE_MS }, (request, response) => {
     void app.handler(request as never, response as never)
   })
@@ -62,72 +71,74 @@
   return server
 }
 
+/** The handlers of all paths that need a key; each turns the HTTP request into a request to the kernel. */
 class CallerRoutes {
   constructor (private readonly _options: CallerServerOptions) {}
 
-  addresses (context: Context): void {
+  addresses (context: RequestContext): void {
     this._submit(context, 'addresses', { type: 'addresses', zone: context.query.get('zone') ?? undefined })
   }
 
-  async open (context: Context): Promise<void> {
+  async open (context: RequestContext): Promise<void> {
     const body = await this._readJson(context, openBodySchema)
     if (body === undefined) return
-    this._submit(context, 'open', toOpenRequest(body, context.owner))
+    this._submit(context, 'open', toOpenRequest(body, context.principal))
   }
 
-  async step (context: Context): Promise<void> {
+  async step (context: RequestContext): Promise<void> {
     const body = await this._readJson(context, stepBodySchema)
     if (body === undefined) return
-    const request = toStepRequest(body, context.owner, context.params.id)
+    const request = toStepRequest(body, context.principal, context.params.id)
     if (request.isStreamed) this._submitStream(context, request)
     else this._submit(context, 'step', request)
   }
 
-  cancel (context: Context): void {
+  cancel (context: RequestContext): void {
     const step = Number(context.params.step)
-    if (!Number.isInteger(step) || step < 1) sendError(context.response, 400, 'the step must be a positive whole number')
-    else this._submit(context, 'cancel', { type: 'cancel', customer: context.owner, programId: context.params.id, step })
+    if (!Number.isInteger(step) || step < 1) sendError(context.response, 400, 'the step must be a positive integer')
+    else this._submit(context, 'cancel', { type: 'cancel', customer: context.principal, programId: context.params.id, step })
   }
 
-  close (context: Context): void {
-    this._submit(context, 'close', { type: 'close', customer: context.owner, programId: context.params.id })
+  close (context: RequestContext): void {
+    this._submit(context, 'close', { type: 'close', customer: context.principal, programId: context.params.id })
   }
 
-  program (context: Context): void {
-    this._submit(context, 'program', { type: 'program', customer: context.owner, programId: context.params.id, withHistory: context.query.get('history') === 'true' })
+  program (context: RequestContext): void {
+    this._submit(context, 'program', { type: 'program', customer: context.principal, programId: context.params.id, withHistory: context.query.get('history') === 'true' })
   }
 
-  configuration (context: Context): void {
+  configuration (context: RequestContext): void {
     this._submit(context, 'configuration', { type: 'configuration', environment: context.query.get('environment') ?? undefined })
   }
 
-  async apply (context: Context): Promise<void> {
+  async apply (context: RequestContext): Promise<void> {
     const body = await this._readJson(context, applyBodySchema)
     if (body === undefined) return
-    this._submit(context, 'apply', { type: 'apply', environment: context.params.environment, baseRevision: body.baseRevision, document: body.document, by: context.owner })
+    this._submit(context, 'apply', { type: 'apply', environment: context.params.environment, baseRevision: body.baseRevision, document: body.document, by: context.principal })
   }
 
-  async promote (context: Context): Promise<void> {
+  async promote (context: RequestContext): Promise<void> {
     const body = await this._readJson(context, promoteBodySchema)
     if (body === undefined) return
-    this._submit(context, 'promote', { type: 'promote', ...body, by: context.owner })
+    this._submit(context, 'promote', { type: 'promote', ...body, by: context.principal })
   }
 
-  audit (context: Context): void {
+  audit (context: RequestContext): void {
     const limit = Number(context.query.get('limit') ?? DEFAULT_AUDIT_LIMIT)
     const isValid = Number.isInteger(limit) && limit > 0 && limit <= MAX_AUDIT_LIMIT
     if (isValid) this._submit(context, 'audit', { type: 'audit', limit })
-    else sendError(context.response, 400, `limit must be a whole number from 1 to ${MAX_AUDIT_LIMIT}`)
+    else sendError(context.response, 400, `limit must be an integer from 1 to ${MAX_AUDIT_LIMIT}`)
   }
 
-  programs (context: Context): void {
+  programs (context: RequestContext): void {
     this._submit(context, 'programs', { type: 'programs' })
   }
 
-  private _submit ({ response }: Context, route: string, request: CallerRequest): void {
+  /** Passes a request to the kernel and sends its final reply as one JSON answer. */
+  private _submit ({ response }: RequestContext, route: string, request: CallerRequest): void {
     const startedAtMs = performance.now()
     let isOver = false
-    const onGone = this._options.onRequest(request, reply => {
+    const onCallerDisconnected = this._options.onRequest(request, reply => {
       if (reply.type === 'chunk') return
       isOver = true
       const answer = toHttpReply(reply)
@@ -135,15 +146,15 @@
       sendReply(response, answer)
     })
     response.on('close', () => {
-      if (!isOver) onGone()
+      if (!isOver) onCallerDisconnected()
     })
   }
 
-  /** Streams pieces as they come; a request that ends without one gets a plain answer. */
-  private _submitStream ({ response }: Context, request: CallerRequest): void {
+  /** Sends each chunk as a server-sent event when it arrives; a request that ends without any chunk gets one JSON answer. */
+  private _submitStream ({ response }: RequestContext, request: CallerRequest): void {
     const startedAtMs = performance.now()
     let isOver = false
-    const onGone = this._options.onRequest(request, reply => {
+    const onCallerDisconnected = this._options.onRequest(request, reply => {
       if (reply.type === 'chunk') {
         if (!response.headersSent) response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' })
         response.write(toChunkEvent(reply.text, reply.tokens))
@@ -156,12 +167,12 @@
       else sendReply(response, answer)
     })
     response.on('close', () => {
-      if (!isOver) onGone()
+      if (!isOver) onCallerDisconnected()
     })
   }
 
-  /** Reads and checks a JSON body; answers by itself and returns undefined when it is not acceptable. */
-  private async _readJson<S extends z.ZodType> ({ request, response }: Context, schema: S): Promise<z.output<S> | undefined> {
+  /** Reads and checks a JSON body. If it is not acceptable, sends the error answer and returns undefined. */
+  private async _readJson<S extends z.ZodType> ({ request, response }: RequestContext, schema: S): Promise<z.output<S> | undefined> {
     const { limits } = this._options.settings
     const body = await readBody(request, limits.bodyBytes, limits.requestReadMs)
     if (body.type !== 'read') {
@@ -181,30 +192,33 @@
   }
 }
 
-function withOwner (credentials: Settings['credentials']['customers'], route: Route) {
+/** Wraps a route so that it runs only with a valid key; otherwise answers 401, or 404 for a program id that is too long. */
+function requireCredential (credentials: Settings['credentials']['customers'], route: Route) {
   return async (request: { headers: IncomingMessage['headers'], params: Record<string, string>, url: string }, response: unknown): Promise<void> => {
-    const owner = resolveOwner(credentials, request.headers.authorization)
+    const principal = resolvePrincipal(credentials, request.headers.authorization)
     const serverResponse = response as ServerResponse
-    if (owner === undefined) {
+    if (principal === undefined) {
       serverResponse.setHeader('www-authenticate', 'Bearer')
-      sendError(serverResponse, 401, 'a valid bearer key is needed')
+      sendError(serverResponse, 401, 'a valid bearer key is required')
       return
     }
-    if ((request.params.id ?? '').length > MAX_PROGRAM_ID) {
+    if ((request.params.id ?? '').length > MAX_PROGRAM_ID_CHARACTERS) {
       sendError(serverResponse, 404, 'no such program')
       return
     }
     const query = new URL(request.url, 'http://localhost').searchParams
-    await route({ request: request as unknown as IncomingMessage, response: serverResponse, owner, params: request.params, query })
+    await route({ request: request as unknown as IncomingMessage, response: serverResponse, principal, params: request.params, query })
   }
 }
 
+/** Answers a body that could not be read, and closes the connection because unread bytes may follow. An aborted request gets no answer. */
 function rejectBody (response: ServerResponse, problem: 'tooLarge' | 'tooSlow' | 'aborted'): void {
   response.setHeader('connection', 'close')
   if (problem === 'tooLarge') sendError(response, 413, 'the body is too large')
   else if (problem === 'tooSlow') sendError(response, 408, 'the body did not arrive in time')
 }
 
+/** Returns undefined for text that is not JSON. */
 function parseJson (text: string): unknown {
   try {
     return JSON.parse(text)
@@ -222,6 +236,7 @@
   send(response, status, { outcome: 'notRun', reason: 'invalid', detail })
 }
 
+/** Sends a JSON answer, unless an answer has begun or the connection is closed. */
 function send (response: ServerResponse, status: number, body: unknown): void {
   if (response.headersSent || response.destroyed) return
   response.writeHead(status, { 'content-type': 'application/json' }).end(JSON.stringify(body))
--- a/packages/node/src/node/credentials.ts
+++ b/packages/node/src/node/credentials.ts
@@ -1,25 +1,30 @@
-/** Checks bearer keys in constant time. */
+/** Checks bearer keys and shared secrets in constant time, against timing attacks. */
 import { createHash, timingSafeEqual } from 'node:crypto'
 
+/** The key of one customer or operator, stored as a hash. */
 export interface Credential {
   name: string
+  /** 64 hexadecimal digits. */
   keySha256: string
 }
 
 const BEARER_PREFIX = 'Bearer '
 
-/** The owner of the key in an `Authorization` header, or undefined. Every credential is compared, whichever matches. */
-export function resolveOwner (credentials: readonly Credential[], authorization: string | undefined): string | undefined {
+/**
+ * The name of the customer or operator whose bearer key is in the `Authorization` header; undefined without a valid key.
+ * Compares every credential even after a match, so that the duration does not depend on which one matches.
+ */
+export function resolvePrincipal (credentials: readonly Credential[], authorization: string | undefined): string | undefined {
   if (authorization === undefined || !authorization.startsWith(BEARER_PREFIX)) return undefined
   const digest = sha256(authorization.slice(BEARER_PREFIX.length))
-  let owner: string | undefined
+  let principal: string | undefined
   for (const { name, keySha256 } of credentials) {
-    if (timingSafeEqual(digest, Buffer.from(keySha256, 'hex'))) owner = name
+    if (timingSafeEqual(digest, Buffer.from(keySha256, 'hex'))) principal = name
   }
-  return owner
+  return principal
 }
 
-/** Compares two secrets in constant time, whatever their lengths. */
+/** Compares two secrets of any length in constant time. */
 export function isSameSecret (left: string, right: string): boolean {
   return timingSafeEqual(sha256(left), sha256(right))
 }
--- a/packages/node/src/node/daemon.ts
+++ b/packages/node/src/node/daemon.ts
@@ -1,4 +1,4 @@
-/** The daemon: hosts one kernel and carries out its effects with sockets, timers and the clock. */
+/** The daemon: runs one kernel and performs its effects with sockets, timers and the system clock. */
 import { randomBytes } from 'node:crypto'
 import type { Server } from 'node:http'
 import { monitorEventLoopDelay } from 'node:perf_hooks'
@@ -12,22 +12,25 @@
 import { createPeerServer } from './peerServer.js'
 import { PlatformClient } from './platformClient.js'
 
-const INCARNATION_LENGTH = 9
-const RADIX = 36
+/** Digits to which the start time is padded, so that incarnations compare as strings in the order of time. */
+const INCARNATION_TIME_DIGITS = 9
+const INCARNATION_TIME_RADIX = 36
 const NANOSECONDS_PER_MS = 1e6
-/** Time for which a stopping node waits for slow readers of its last answers. */
-const LAST_BYTES_MS = 3_000
+/** Maximum time that a stopping node waits for callers and peers to read its last answers. */
+const RESPONSE_FLUSH_TIMEOUT_MS = 3_000
 
+/** Settings and dependencies of a daemon. */
 export interface DaemonOptions {
   settings: Settings
   peerSecret: string
+  /** Defaults to standard error at the level of the settings. */
   log?: IEventLog
-  /** Called once the planned stop is complete. */
+  /** Called when the planned stop is complete and everything is closed. */
   onExit?: () => void
 }
 
 /**
- * One node over real sockets.
+ * One node that communicates over real sockets.
  *
  * @example
  * const daemon = new Daemon({ settings, peerSecret })
@@ -41,15 +44,15 @@
   private readonly _backends = new BackendClient()
   private readonly _peers: PeerClient
   private readonly _timers = new Map<number, NodeJS.Timeout>()
-  private readonly _calls = new Map<number, OpenCall>()
-  private readonly _replies = new Map<string, (reply: CallerReply) => void>()
-  private readonly _forwards = new Map<string, AbortController>()
-  private readonly _loopDelay = monitorEventLoopDelay({ resolution: 10 })
+  private readonly _backendCalls = new Map<number, OpenCall>()
+  private readonly _replyHandlers = new Map<string, (reply: CallerReply) => void>()
+  private readonly _forwardControllers = new Map<string, AbortController>()
+  private readonly _eventLoopDelay = monitorEventLoopDelay({ resolution: 10 })
   private _kernel: Kernel | undefined
   private _callerServer: Server | undefined
   private _peerServer: Server | undefined
-  private _vmTimer: NodeJS.Timeout | undefined
-  private _lastRequest = 0
+  private _vmListTimer: NodeJS.Timeout | undefined
+  private _lastRequestNumber = 0
   private _isClosed = false
 
   constructor (private readonly _options: DaemonOptions) {
@@ -62,28 +65,29 @@
     })
   }
 
-  /** Address of the caller API; known once `start` has ended. */
+  /** Address (host:port) of the caller API; its port is 0 before `start` has opened the ports. */
   get address (): string {
     return addressOf(this._settings.host, this._callerServer)
   }
 
+  /** Address (host:port) of the server for peers; its port is 0 before `start` has opened the ports. */
   get peerAddress (): string {
     return addressOf(this._settings.host, this._peerServer)
   }
 
-  /** Opens the ports, then starts the kernel. */
+  /** Opens the ports, creates the kernel, reads the VM list once and starts the kernel. Rejects if a port cannot be opened. */
   async start (): Promise<void> {
-    this._loopDelay.enable()
+    this._eventLoopDelay.enable()
     this._peerServer = createPeerServer({
       secret: this._options.peerSecret,
       onMessages: envelopes => { for (const envelope of envelopes) this._handle({ type: 'peerMessage', envelope }) },
-      onForward: (request, hops, reply) => this._accept(request, hops, reply)
+      onForward: (request, hops, reply) => this._acceptRequest(request, hops, reply)
     })
     this._callerServer = createCallerServer({
       settings: this._settings,
-      onRequest: (request, reply) => this._accept(request, 0, reply),
+      onRequest: (request, reply) => this._acceptRequest(request, 0, reply),
       isReady: () => this._kernel?.status().isReady ?? false,
-      renderMetrics: () => this.metrics.render(this._gauges()),
+      renderMetrics: () => this.metrics.render(this._readGauges()),
       onAnswered: (route, status, durationMs) => {
         this.metrics.count('requests_total', { route, status: String(status) })
         this.metrics.observeMs('request_duration_ms', durationMs, { route })
@@ -96,32 +100,32 @@
     this._handle({ type: 'started' })
   }
 
-  /** Figures of the kernel; undefined before `start`. */
+  /** State and counters of the kernel; undefined before `start` has created it. */
   status (): KernelStatus | undefined {
     return this._kernel?.status()
   }
 
-  /** Begins the planned stop; `onExit` is called at its end. */
+  /** Starts the planned stop; `onExit` is called when it is complete. */
   stop (): void {
     this._handle({ type: 'stopRequested' })
   }
 
-  /** Closes everything at once, as a crash would. */
+  /** Closes all connections and timers immediately, without draining, like a crash. A second call does nothing. */
   async close (): Promise<void> {
     if (this._isClosed) return
     this._isClosed = true
-    clearTimeout(this._vmTimer)
-    this._loopDelay.disable()
+    clearTimeout(this._vmListTimer)
+    this._eventLoopDelay.disable()
     for (const timer of this._timers.values()) clearTimeout(timer)
-    for (const call of this._calls.values()) call.abort()
-    for (const forward of this._forwards.values()) forward.abort()
+    for (const call of this._backendCalls.values()) call.abort()
+    for (const forward of this._forwardControllers.values()) forward.abort()
     this._kernel?.dispose()
-    await Promise.all([closeServer(this._callerServer), closeServer(this._peerServer), this._platform.close(), this._backends.close(), this._peers.close()])
+    await Promise.all([destroyServer(this._callerServer), destroyServer(this._peerServer), this._platform.close(), this._backends.close(), this._peers.close()])
   }
 
-  /** Lets the last bytes of answers reach their callers before the connections are closed. */
-  private async _finishResponses (): Promise<void> {
-    await Promise.all([endServer(this._callerServer), endServer(this._peerServer)])
+  /** Waits until callers and peers have read the last answers, before their connections are closed. */
+  private async _flushResponses (): Promise<void> {
+    await Promise.all([drainServer(this._callerServer), drainServer(this._peerServer)])
   }
 
   private _startKernel (): void {
@@ -138,31 +142,34 @@
     this._log.write('info', 'nodeStarting', { node, incarnation: identity.incarnation, zone: identity.zone, address: identity.address, peerAddress: identity.peerAddress, environment })
   }
 
+  /** Reads the VM list now and schedules the next read; a failed read is skipped. */
   private async _pollVmList (): Promise<void> {
     const entries = await this._platform.readVmList()
     if (this._isClosed) return
     if (entries !== undefined) this._handle({ type: 'vmListed', entries })
-    this._vmTimer = setTimeout(() => { void this._pollVmList() }, this._settings.platform.vmListPeriodMs)
+    this._vmListTimer = setTimeout(() => { void this._pollVmList() }, this._settings.platform.vmListPeriodMs)
   }
 
+  /** Passes an event to the kernel and performs the resulting effects. Events before the start and after the close are ignored. */
   private _handle (event: InputEvent): void {
     if (this._isClosed || this._kernel === undefined) return
-    for (const effect of this._kernel.handle(event, Date.now())) this._run(effect)
+    for (const effect of this._kernel.handle(event, Date.now())) this._performEffect(effect)
   }
 
-  private _accept (request: CallerRequest, hops: number, reply: (reply: CallerReply) => void): () => void {
-    const requestId = `r${++this._lastRequest}`
-    this._replies.set(requestId, reply)
+  /** Passes a request to the kernel; returns the function to call when the caller disconnects. */
+  private _acceptRequest (request: CallerRequest, hops: number, reply: (reply: CallerReply) => void): () => void {
+    const requestId = `r${++this._lastRequestNumber}`
+    this._replyHandlers.set(requestId, reply)
     this._handle({ type: 'callerRequest', requestId, request, hops })
     return () => {
-      this._replies.delete(requestId)
-      this._forwards.get(requestId)?.abort()
-      this._forwards.delete(requestId)
+      this._replyHandlers.delete(requestId)
+      this._forwardControllers.get(requestId)?.abort()
+      this._forwardControllers.delete(requestId)
       this._handle({ type: 'callerGone', requestId })
     }
   }
 
-  private _run (effect: Effect): void {
+  private _performEffect (effect: Effect): void {
     switch (effect.type) {
       case 'setTimer': return this._setTimer(effect.timerId, effect.delayMs)
       case 'cancelTimer': return this._cancelTimer(effect.timerId)
@@ -178,18 +185,18 @@
         return
       case 'callBackend': return this._callBackend(effect)
       case 'cancelBackend':
-        this._calls.get(effect.callId)?.abort()
-        this._calls.delete(effect.callId)
+        this._backendCalls.get(effect.callId)?.abort()
+        this._backendCalls.delete(effect.callId)
         return
       case 'reply': return this._reply(effect.requestId, effect.reply)
       case 'forward': return this._forward(effect)
       case 'cancelForward':
-        this._forwards.get(effect.requestId)?.abort()
-        this._forwards.delete(effect.requestId)
+        this._forwardControllers.get(effect.requestId)?.abort()
+        this._forwardControllers.delete(effect.requestId)
         return
       case 'log': return this._log.write(effect.level, effect.event, { node: this._settings.node, ...effect.fields })
       case 'exit':
-        void this._finishResponses().then(async () => await this.close()).then(() => this._options.onExit?.())
+        void this._flushResponses().then(async () => await this.close()).then(() => this._options.onExit?.())
     }
   }
 
@@ -207,25 +214,25 @@
 
   private _callBackend (effect: Extract<Effect, { type: 'callBackend' }>): void {
     const { callId, address, request, timeoutMs } = effect
-    this._calls.set(callId, this._backends.call(address, request, timeoutMs, event => {
-      if (event.type !== 'chunk') this._calls.delete(callId)
+    this._backendCalls.set(callId, this._backends.call(address, request, timeoutMs, event => {
+      if (event.type !== 'chunk') this._backendCalls.delete(callId)
       this._handle({ type: 'backendEvent', callId, event })
     }))
   }
 
   private _reply (requestId: string, reply: CallerReply): void {
-    const send = this._replies.get(requestId)
+    const handleReply = this._replyHandlers.get(requestId)
     if (reply.type !== 'chunk') {
-      this._replies.delete(requestId)
-      this._forwards.delete(requestId)
+      this._replyHandlers.delete(requestId)
+      this._forwardControllers.delete(requestId)
     }
-    send?.(reply)
+    handleReply?.(reply)
   }
 
   private _forward (effect: Extract<Effect, { type: 'forward' }>): void {
     const { requestId, to, request, hops } = effect
     const controller = new AbortController()
-    this._forwards.set(requestId, controller)
+    this._forwardControllers.set(requestId, controller)
     const peerAddress = this._peerAddressOf(to.node)
     if (peerAddress === undefined) {
       this._handle({ type: 'forwardFailed', requestId, wasSent: false })
@@ -240,7 +247,7 @@
     return this._kernel?.findPeerAddress(node)
   }
 
-  private _gauges (): Record<string, number> {
+  private _readGauges (): Record<string, number> {
     const status = this._kernel?.status()
     if (status === undefined) return {}
     const memory = process.memoryUsage()
@@ -259,23 +266,25 @@
       retries: status.retries,
       resident_memory_bytes: memory.rss,
       heap_used_bytes: memory.heapUsed,
-      event_loop_delay_p99_ms: this._loopDelay.percentile(99) / NANOSECONDS_PER_MS,
+      event_loop_delay_p99_ms: this._eventLoopDelay.percentile(99) / NANOSECONDS_PER_MS,
       cpu_seconds: process.cpuUsage().user / 1e6 + process.cpuUsage().system / 1e6
     }
   }
 }
 
-/** Later starts compare as larger, so that peers can tell which of two runs is the newer. */
+/** Creates the incarnation of this start. A later start has the larger string, by which peers recognize the newer of two incarnations. */
 function createIncarnation (): string {
-  const time = Date.now().toString(RADIX).padStart(INCARNATION_LENGTH, '0')
+  const time = Date.now().toString(INCARNATION_TIME_RADIX).padStart(INCARNATION_TIME_DIGITS, '0')
   return `${time}${randomBytes(2).toString('hex')}`
 }
 
+/** The address as host:port; the port is 0 if the server is not listening. */
 function addressOf (host: string, server: Server | undefined): string {
   const address = server?.address()
   return typeof address === 'object' && address !== null ? `${host}:${address.port}` : `${host}:0`
 }
 
+/** Resolves when the server is listening; rejects if the port cannot be opened. */
 async function listen (server: Server, port: number, host: string): Promise<void> {
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
@@ -286,11 +295,11 @@
   })
 }
 
-/** Takes no new connection and waits for the open requests, for a while. */
-async function endServer (server: Server | undefined): Promise<void> {
+/** Refuses new connections and waits for the open requests to end, at most `RESPONSE_FLUSH_TIMEOUT_MS`. */
+async function drainServer (server: Server | undefined): Promise<void> {
   if (server === undefined) return
   await new Promise<void>(resolve => {
-    const timer = setTimeout(resolve, LAST_BYTES_MS)
+    const timer = setTimeout(resolve, RESPONSE_FLUSH_TIMEOUT_MS)
     server.close(() => {
       clearTimeout(timer)
       resolve()
@@ -299,7 +308,8 @@
   })
 }
 
-async function closeServer (server: Server | undefined): Promise<void> {
+/** Closes a server with all its connections, also those with open requests. */
+async function destroyServer (server: Server | undefined): Promise<void> {
   if (server === undefined) return
   await new Promise<void>(resolve => {
     server.close(() => resolve())
--- a/packages/node/src/node/logger.ts
+++ b/packages/node/src/node/logger.ts
@@ -1,22 +1,24 @@
-/** Writes log events through tslog, one line of key=value pairs each. */
+/** The event log of a node, written through tslog. */
 import { Logger } from 'tslog'
 import type { LogFields, LogLevel } from '@trefoilshunt/core'
 import { formatLogLine } from '../common/logLine.js'
 
-const LEVELS = { info: 3, warn: 4, error: 5, silent: 7 } as const
+/** Numbers that tslog uses for the levels; `silent` is above all of them. */
+const TSLOG_LEVELS = { info: 3, warn: 4, error: 5, silent: 7 } as const
 
+/** Destination of log events. */
 export interface IEventLog {
   write (level: LogLevel, event: string, fields: LogFields): void
 }
 
-/** Lines go to standard error, so that standard output stays free for results. */
+/** Writes each event as one line of key=value pairs, by default to standard error because standard output is for results. */
 export class EventLog implements IEventLog {
   private readonly _logger: Logger<unknown>
 
-  constructor (minLevel: keyof typeof LEVELS, private readonly _writeLine: (line: string) => void = line => process.stderr.write(line)) {
+  constructor (minLevel: keyof typeof TSLOG_LEVELS, private readonly _writeLine: (line: string) => void = line => process.stderr.write(line)) {
     this._logger = new Logger({
       type: 'pretty',
-      minLevel: LEVELS[minLevel],
+      minLevel: TSLOG_LEVELS[minLevel],
       stylePrettyLogs: false,
       hideLogPositionForProduction: true,
       prettyLogTemplate: '',
--- a/packages/node/src/node/peerClient.ts
+++ b/packages/node/src/node/peerClient.ts
@@ -1,42 +1,49 @@
-/** Sends messages and forwarded requests to other nodes. */
+/** HTTP client for messages and forwarded requests to other nodes. */
 import { createTRPCClient, httpLink, type TRPCClient } from '@trpc/client'
 import { Agent, request } from 'undici'
 import type { CallerReply, CallerRequest, PeerEnvelope } from '@trefoilshunt/core'
 import { FORWARD_PATH, type ForwardBody, PEER_SECRET_HEADER, type PeerRouter, ReplyLineReader } from '@trefoilshunt/protocol'
-import { describeError } from './httpErrors.js'
+import { classifyError } from './httpErrors.js'
 
 const DELIVER_TIMEOUT_MS = 1_000
 const CONNECT_TIMEOUT_MS = 500
 const CONNECTIONS_PER_PEER = 32
-/** Messages in one delivery. */
-const MAX_ENVELOPES = 500
+/** Must not exceed the number of messages that `deliver` accepts. */
+const MAX_ENVELOPES_PER_DELIVERY = 500
 
+/** Dependencies of a peer client. */
 export interface PeerClientOptions {
+  /** The secret that all nodes share; sent in a header of each request. */
   secret: string
-  /** Reports a message that did not arrive. */
+  /** Called for each message of a failed delivery; it may have arrived if the delivery timed out. */
   onFailed: (envelope: PeerEnvelope, address: string) => void
 }
 
+/** Messages to one peer. */
 interface Outbox {
   client: TRPCClient<PeerRouter>
-  waiting: PeerEnvelope[]
+  pending: PeerEnvelope[]
   isSending: boolean
 }
 
-/** One outbox a peer: messages that arise while a request is under way leave together with the next one. */
+/** Sends messages in order, with one delivery at a time for each peer. Messages that are queued during a delivery are sent together in the next one. */
 export class PeerClient {
   private readonly _outboxes = new Map<string, Outbox>()
   private readonly _agent = new Agent({ connections: CONNECTIONS_PER_PEER, connect: { timeout: CONNECT_TIMEOUT_MS }, headersTimeout: 0, bodyTimeout: 0 })
 
   constructor (private readonly _options: PeerClientOptions) {}
 
+  /** Queues a message for the peer at `address` (host:port). A failure is reported through `onFailed`. */
   send (address: string, envelope: PeerEnvelope): void {
     const outbox = this._resolveOutbox(address)
-    outbox.waiting.push(envelope)
-    if (!outbox.isSending) void this._drain(address, outbox)
+    outbox.pending.push(envelope)
+    if (!outbox.isSending) void this._sendPending(address, outbox)
   }
 
-  /** Hands a caller's request to another node and streams the replies back. */
+  /**
+   * Forwards a caller's request to another node and passes on each of its replies. If the connection ends without a final reply,
+   * `onFailed` is called; `wasSent` is false only if the other node cannot have started the request.
+   */
   async forward (address: string, callerRequest: CallerRequest, hops: number, signal: AbortSignal, onReply: (reply: CallerReply) => void, onFailed: (wasSent: boolean) => void): Promise<void> {
     let isAnswered = false
     try {
@@ -59,10 +66,11 @@
       }
       if (!isAnswered) onFailed(true)
     } catch (error) {
-      if (!isAnswered) onFailed(!describeError(error).isUntouched)
+      if (!isAnswered) onFailed(!classifyError(error).isUntouched)
     }
   }
 
+  /** Closes all connections; deliveries and forwarded requests in progress fail. */
   async close (): Promise<void> {
     await this._agent.destroy()
   }
@@ -71,7 +79,7 @@
     let outbox = this._outboxes.get(address)
     if (outbox === undefined) {
       const link = httpLink({ url: `http://${address}`, headers: { [PEER_SECRET_HEADER]: this._options.secret }, fetch: async (url, options) => await this._fetch(String(url), options as RequestInit) })
-      outbox = { client: createTRPCClient<PeerRouter>({ links: [link] }), waiting: [], isSending: false }
+      outbox = { client: createTRPCClient<PeerRouter>({ links: [link] }), pending: [], isSending: false }
       this._outboxes.set(address, outbox)
     }
     return outbox
@@ -88,10 +96,10 @@
     return new Response(await body.text(), { status: statusCode })
   }
 
-  private async _drain (address: string, outbox: Outbox): Promise<void> {
+  private async _sendPending (address: string, outbox: Outbox): Promise<void> {
     outbox.isSending = true
-    while (outbox.waiting.length > 0) {
-      const envelopes = outbox.waiting.splice(0, MAX_ENVELOPES)
+    while (outbox.pending.length > 0) {
+      const envelopes = outbox.pending.splice(0, MAX_ENVELOPES_PER_DELIVERY)
       try {
         await outbox.client.deliver.mutate({ envelopes })
       } catch {
--- a/packages/node/src/node/peerServer.ts
+++ b/packages/node/src/node/peerServer.ts
@@ -1,4 +1,4 @@
-/** Takes messages and forwarded requests from other nodes. */
+/** The HTTP server for messages and forwarded requests from other nodes. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { createHTTPHandler } from '@trpc/server/adapters/standalone'
 import type { CallerReply, CallerRequest, PeerEnvelope } from '@trefoilshunt/core'
@@ -8,13 +8,16 @@
 
 const MAX_PEER_BODY_BYTES = 64_000_000
 
+/** Dependencies of the peer server. */
 export interface PeerServerOptions {
+  /** The secret that all nodes share; requests without it are not processed. */
   secret: string
   onMessages: (envelopes: PeerEnvelope[]) => void
-  /** Handles a forwarded request; returns the function to call when the other node goes away. */
+  /** Handles a forwarded request; returns the function to call when the other node disconnects before the final reply. */
   onForward: (request: CallerRequest, hops: number, reply: (reply: CallerReply) => void) => () => void
 }
 
+/** Creates the server; the caller of this function starts it with `listen`. */
 export function createPeerServer (options: PeerServerOptions): Server {
   const trpcHandler = createHTTPHandler({
     router: peerRouter,
@@ -28,13 +31,17 @@
 }
 
 function isTrusted (request: IncomingMessage, secret: string): boolean {
-  const given = request.headers[PEER_SECRET_HEADER]
-  return typeof given === 'string' && isSameSecret(given, secret)
+  const presentedSecret = request.headers[PEER_SECRET_HEADER]
+  return typeof presentedSecret === 'string' && isSameSecret(presentedSecret, secret)
 }
 
+/**
+ * Streams the replies to a forwarded request as lines of JSON. Answers 403 without the secret or with an unreadable body.
+ * The headers are sent at once, before the first reply.
+ */
 async function handleForward (request: IncomingMessage, response: ServerResponse, options: PeerServerOptions): Promise<void> {
   const body = isTrusted(request, options.secret) ? await readBody(request, MAX_PEER_BODY_BYTES) : undefined
-  const parsed = body?.type === 'read' ? parseForward(body.text) : undefined
+  const parsed = body?.type === 'read' ? parseForwardBody(body.text) : undefined
   if (parsed === undefined) {
     response.writeHead(403).end()
     return
@@ -42,7 +49,7 @@
   response.writeHead(200, { 'content-type': 'application/x-ndjson' })
   response.flushHeaders()
   let isOver = false
-  const onGone = options.onForward(parsed.request, parsed.hops, reply => {
+  const onPeerDisconnected = options.onForward(parsed.request, parsed.hops, reply => {
     if (isOver) return
     response.write(toReplyLine(reply))
     if (reply.type === 'chunk') return
@@ -50,11 +57,11 @@
     response.end()
   })
   response.on('close', () => {
-    if (!isOver) onGone()
+    if (!isOver) onPeerDisconnected()
   })
 }
 
-function parseForward (text: string): ForwardBody | undefined {
+function parseForwardBody (text: string): ForwardBody | undefined {
   try {
     const body = JSON.parse(text) as Partial<ForwardBody>
     const isValid = typeof body.request?.type === 'string' && Number.isInteger(body.hops)
--- a/packages/node/src/node/readBody.ts
+++ b/packages/node/src/node/readBody.ts
@@ -1,25 +1,26 @@
-/** Reads request bodies within limits. */
+/** Reads request bodies within limits of size and time. */
 import type { IncomingMessage } from 'node:http'
 
+/** The body as text, or why it was not read. `aborted` means that the connection ended first. */
 export type BodyOutcome = { type: 'read', text: string } | { type: 'tooLarge' } | { type: 'tooSlow' } | { type: 'aborted' }
 
-/** Reads a whole body of at most `limitBytes`, within `timeoutMs` if given. */
+/** Reads a complete UTF-8 body of at most `limitBytes`, within `timeoutMs` if given. Never rejects. */
 export async function readBody (request: IncomingMessage, limitBytes: number, timeoutMs?: number): Promise<BodyOutcome> {
   return await new Promise(resolve => {
-    const parts: Buffer[] = []
-    let size = 0
-    const timer = timeoutMs === undefined ? undefined : setTimeout(() => settle({ type: 'tooSlow' }), timeoutMs)
-    const settle = (outcome: BodyOutcome) => {
+    const chunks: Buffer[] = []
+    let receivedBytes = 0
+    const timer = timeoutMs === undefined ? undefined : setTimeout(() => finish({ type: 'tooSlow' }), timeoutMs)
+    const finish = (outcome: BodyOutcome) => {
       clearTimeout(timer)
       resolve(outcome)
     }
-    request.on('data', (part: Buffer) => {
-      size += part.length
-      if (size > limitBytes) settle({ type: 'tooLarge' })
-      else parts.push(part)
+    request.on('data', (chunk: Buffer) => {
+      receivedBytes += chunk.length
+      if (receivedBytes > limitBytes) finish({ type: 'tooLarge' })
+      else chunks.push(chunk)
     })
-    request.on('end', () => settle({ type: 'read', text: Buffer.concat(parts).toString('utf8') }))
-    request.on('error', () => settle({ type: 'aborted' }))
-    request.on('close', () => settle({ type: 'aborted' }))
+    request.on('end', () => finish({ type: 'read', text: Buffer.concat(chunks).toString('utf8') }))
+    request.on('error', () => finish({ type: 'aborted' }))
+    request.on('close', () => finish({ type: 'aborted' }))
   })
 }
--- a/packages/node/src/node/steadyClock.ts
+++ b/packages/node/src/node/steadyClock.ts
@@ -1,7 +1,7 @@
-/** Time that only moves forward. */
+/** A clock that never goes back, and a delay. */
 import { performance } from 'node:perf_hooks'
 
-/** Milliseconds of the steady clock; not counted while the machine is suspended. */
+/** Milliseconds since the start of the process; the time for which the machine is suspended is not counted. */
 export function steadyNowMs (): number {
   return performance.now()
 }
--- a/packages/node/src/routed.ts
+++ b/packages/node/src/routed.ts
@@ -1,4 +1,4 @@
-/** Exports for platform adapters that serve routed requests, without the caller interface of this project. */
+/** Exports for platform adapters, which serve routed requests through a caller interface of their own. */
 export * from './common/logLine.js'
 export * from './common/metrics.js'
 export * from './common/routed/eventFrames.js'
--- a/packages/node/test/common/eventFrames.test.ts
+++ b/packages/node/test/common/eventFrames.test.ts
@@ -1,9 +1,10 @@
+/** Tests the splitter of event streams. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import fc from 'fast-check'
 import { EventFrameSplitter } from '@trefoilshunt/node'
 
-test('events come out whole and in order, however the bytes are split', () => {
+test('events are returned complete and in order for any split of the bytes', () => {
   const text = 'id: 1\ndata: one\n\nweight-versions: 3\nid: 2\ndata: two\ndata: lines\n\n: comment\n\nid: 3\r\ndata: dr\u00fcck\r\n\r\n'
   const bytes = Buffer.from(text)
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 1, maxLength: 60 }), sizes => {
@@ -21,7 +22,7 @@
   }))
 })
 
-test('a half event stays behind', () => {
+test('the bytes of an incomplete event stay in the splitter', () => {
   const splitter = new EventFrameSplitter()
   assert.is(splitter.push(Buffer.from('id: 1\ndata: on')).length, 0)
   assert.is(splitter.rest.toString(), 'id: 1\ndata: on')
--- a/packages/node/test/common/settings.test.ts
+++ b/packages/node/test/common/settings.test.ts
@@ -1,3 +1,4 @@
+/** Tests the settings file, log lines and metrics. */
 import { readFileSync } from 'node:fs'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -8,17 +9,17 @@
   assert.ok(loadSettings('samples/settings.jsonc').isRight())
 })
 
-test('each wrong setting is named with line and column', () => {
+test('each wrong setting is reported with its key, line and column', () => {
   const text = readFileSync('samples/settings.jsonc', 'utf8').replace('"callerPort": 7300', '"callerPort": 73000').replace('"environment": "production"', '"environment": "prod"')
   const problems = parseJsonc('s.jsonc', text, settingsSchema).swap().unsafeCoerce()
   assert.equal(problems.map(problem => [problem.line, problem.message.split(':')[0]]), [[5, 'environment'], [7, 'callerPort']])
 })
 
-test('a missing file is a problem, not a crash', () => {
+test('a missing file is reported as a problem', () => {
   assert.match(loadSettings('no-such-file.jsonc').swap().unsafeCoerce()[0], /no such file/i)
 })
 
-test('a log line holds key=value pairs and no secret', () => {
+test('a log line has key=value pairs and no secrets', () => {
   assert.is(formatLogLine('info', 'opened', { program: 'p.1', detail: 'two words', key: 'secret', none: undefined }, 'T'), 'time=T level=info event=opened program=p.1 detail="two words" key=***')
 })
 
