--- a/packages/core/src/common/configuration/configuration.contribution.ts
+++ b/packages/core/src/common/configuration/configuration.contribution.ts
@@ -1,3 +1,4 @@
+/** Plug-in of the configuration: follows the `control` stream and answers the operators' requests. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { Configuration, IConfiguration } from './configuration.js'
 import { OperatorRequests } from './operatorRequests.js'
--- a/packages/core/src/common/configuration/configuration.ts
+++ b/packages/core/src/common/configuration/configuration.ts
@@ -1,4 +1,4 @@
-/** Follows the `control` stream and publishes to it. */
+/** Reads the `control` stream into the control state, activates configurations and publishes control records. */
 import { inject, injectable } from 'tsyringe'
 import { IClock } from '../kernel/clock.js'
 import { ILogger } from '../kernel/effectQueue.js'
@@ -16,54 +16,62 @@
 import { IPeers } from '../peers/peers.js'
 import { CONTROL_STREAM, type AuditEntry, type ControlRecord, type ControlState, type EnvironmentState } from './controlRecords.js'
 import { isControlRecord } from './controlSchema.js'
-import { createControlState, findEnvironment, foldControlRecord, foldTruncatedLog, recordSkippedRecord } from './controlFold.js'
+import { createControlState, findEnvironment, foldControlRecord, foldTruncatedLog, skipDamagedRecord } from './controlFold.js'
 import { type Backend, type ConfigurationDocument, type Customer, parseDocument, type WorkKind } from './document.js'
 
 const READ_PAGE_RECORDS = 500
 const PEER_COPY_TIMEOUT_MS = 1_000
-const MAX_SNAPSHOT_CHECK_MS = 60_000
-/** The age of the last snapshot is looked at so often in each retention time. */
+const MAX_SNAPSHOT_CHECK_PERIOD_MS = 60_000
+/** Least number of checks of the last snapshot's age within the log's retention time. */
 const SNAPSHOT_CHECKS_PER_RETENTION = 20
 const SNAPSHOT_TIMEOUT_MS = 30_000
+/** Shortest delay before a publication is sent again after a failed append or read; the longest is twice as long. */
 const PUBLISH_RETRY_MS = 300
-/** A snapshot is due after this share of the log's retention. */
+/** Age, as a share of the log's retention time, from which the oldest needed record calls for a new snapshot. */
 const SNAPSHOT_AGE_SHARE = 0.25
 
 type WithoutId<T> = T extends unknown ? Omit<T, 'id'> : never
 /** A control record that has no id yet. */
 export type NewControlRecord = WithoutId<ControlRecord>
 
-/** Fate of a published record, known only after it was read back. */
+/** Outcome of a publication. Success is known only after the record was read back from the log. */
 export type PublishOutcome =
+  /** The record was read back; `entry` is undefined when it has no audit entry. */
   | { type: 'folded', offset: number, entry: AuditEntry | undefined }
-  /** The record certainly did not land. */
+  /** The record is certainly not in the log. */
   | { type: 'failed' }
-  /** The record may have landed or may land yet. */
+  /** The record may be in the log, or may still be appended. */
   | { type: 'ambiguous' }
 
-/** The configuration in force, and the rest of the control state. */
+/** The active configuration of this node's environment, and the rest of the control state. */
 export interface IConfiguration {
-  /** Fires after the document in force for this node's environment has changed. */
+  /** Fires after the active document of this node's environment has changed. */
   readonly onDidChange: Event<ConfigurationDocument>
-  /** Fires after each folded control record. */
+  /** Fires after each valid control record that was read, also after one that was ignored as a duplicate. */
   readonly onDidFold: Event<StoredRecord<ControlRecord>>
   readonly state: Readonly<ControlState>
-  /** The document in force here; undefined before the first one is known. */
+  /** The active document; undefined before the first one is known. */
   readonly document: ConfigurationDocument | undefined
+  /** Newest known revision of this node's environment; 0 before the first one. */
   readonly revision: number
-  /** True once the stream was read to its end, at start. */
+  /** True once the stream was read to its end for the first time. */
   readonly hasReadLog: boolean
   findKind (name: string): WorkKind | undefined
   findBackend (name: string): Backend | undefined
   findCustomer (name: string): Customer | undefined
-  /** Appends a record and reports what became of it once it was read back, or after `timeoutMs`. */
+  /**
+   * Appends a record, again when needed, until it was read back, and then reports its outcome. Reports `failed` or
+   * `ambiguous` at the first attempt that would start after `timeoutMs`.
+   */
   publish (record: NewControlRecord, timeoutMs: number, onOutcome: (outcome: PublishOutcome) => void): void
 }
 export const IConfiguration = Symbol('IConfiguration')
 
+/** A record that was not read back yet. */
 interface Publication {
   id: string
-  mayHaveLanded: boolean
+  /** True when an append of the record did not certainly fail. */
+  mayBeAppended: boolean
   deadlineMs: number
   record: ControlRecord
   onOutcome: (outcome: PublishOutcome) => void
@@ -74,17 +82,19 @@
   private readonly _didChange = this._register(new Emitter<ConfigurationDocument>())
   private readonly _didFold = this._register(new Emitter<StoredRecord<ControlRecord>>())
   private readonly _publications = new Map<string, Publication>()
-  /** Configurations taken from peers while the log could not be read. */
-  private readonly _copies = new Map<string, EnvironmentState>()
-  /** Records read since a gap in the stream, until its end is reached. */
-  private _truncated: Array<StoredRecord<ControlRecord>> | undefined
+  /** Configurations received from peers while the log could not be read, by environment. */
+  private readonly _peerCopies = new Map<string, EnvironmentState>()
+  /** Records read after a gap in the stream, until its end is reached; undefined while there is no gap. */
+  private _recordsAfterGap: Array<StoredRecord<ControlRecord>> | undefined
   private _state = createControlState()
   private _document: ConfigurationDocument | undefined
-  private _documentKey = ''
+  /** Revision and offset of the environment state that was activated last. */
+  private _activeRevisionKey = ''
   private _isReading = false
   private _hasReadLog = false
-  private _lastPublication = 0
-  private _oldestNeededMs: number | undefined
+  private _lastPublicationNumber = 0
+  /** Time of the oldest record that a new reader of the stream needs; undefined before the first record. */
+  private _oldestNeededRecordMs: number | undefined
   private _backends = new Map<string, Backend>()
   private _kinds = new Map<string, WorkKind>()
   private _customers = new Map<string, Customer>()
@@ -108,14 +118,14 @@
 
   start (): void {
     this._membership.setDigestSource(() => ({ revision: this.revision, controlOffset: this._state.nextOffset }))
-    this._peers.handle('configurationRequest', (_body, _from, respond) => respond(this._copyForPeer()))
+    this._peers.handle('configurationRequest', (_body, _from, respond) => respond(this._createPeerCopy()))
     this._register(this._membership.onDidHearDigest(digest => {
-      if (digest.controlOffset > this._state.nextOffset) this._read()
+      if (digest.controlOffset > this._state.nextOffset) this._startRead()
     }))
-    this._register(this._timers.every(this._settings.controlPollMs, () => this._read()))
-    const checkMs = Math.min(MAX_SNAPSHOT_CHECK_MS, this._settings.logRetentionMs / SNAPSHOT_CHECKS_PER_RETENTION)
-    this._register(this._timers.every(checkMs, () => this._snapshotIfDue()))
-    this._read()
+    this._register(this._timers.every(this._settings.controlPollMs, () => this._startRead()))
+    const checkPeriodMs = Math.min(MAX_SNAPSHOT_CHECK_PERIOD_MS, this._settings.logRetentionMs / SNAPSHOT_CHECKS_PER_RETENTION)
+    this._register(this._timers.every(checkPeriodMs, () => this._publishSnapshotIfDue()))
+    this._startRead()
   }
 
   get state (): Readonly<ControlState> {
@@ -147,10 +157,10 @@
   }
 
   publish (record: NewControlRecord, timeoutMs: number, onOutcome: (outcome: PublishOutcome) => void): void {
-    const id = `${this._identity.node}-${this._identity.incarnation}-c${++this._lastPublication}`
+    const id = `${this._identity.node}-${this._identity.incarnation}-c${++this._lastPublicationNumber}`
     const publication: Publication = {
       id,
-      mayHaveLanded: false,
+      mayBeAppended: false,
       deadlineMs: this._clock.nowMs() + timeoutMs,
       record: { ...record, id } as ControlRecord,
       onOutcome
@@ -163,30 +173,33 @@
     if (!this._publications.has(publication.id)) return
     if (this._clock.nowMs() >= publication.deadlineMs) {
       this._publications.delete(publication.id)
-      publication.onOutcome({ type: publication.mayHaveLanded ? 'ambiguous' : 'failed' })
+      publication.onOutcome({ type: publication.mayBeAppended ? 'ambiguous' : 'failed' })
       return
     }
     this._log.append(CONTROL_STREAM, [publication.record], outcome => {
-      if (outcome.type !== 'failed') publication.mayHaveLanded = true
-      this._readThen(isComplete => this._checkPublication(publication, isComplete && outcome.type === 'appended'))
+      if (outcome.type !== 'failed') publication.mayBeAppended = true
+      this._readToEnd(isComplete => this._resendPublication(publication, isComplete && outcome.type === 'appended'))
     })
   }
 
-  /** Sends a publication again unless the read showed it. An appended record needs only another read. */
-  private _checkPublication (publication: Publication, wasAppended: boolean): void {
+  /**
+   * Sends a publication again unless it was read back, at once when an append and a whole read succeeded without it.
+   * Repeated appends have no effect, because the fold ignores a record with a known id.
+   */
+  private _resendPublication (publication: Publication, isAppendedAndRead: boolean): void {
     if (!this._publications.has(publication.id)) return
-    const delayMs = wasAppended ? 0 : PUBLISH_RETRY_MS + this._random.nextInt(PUBLISH_RETRY_MS)
+    const delayMs = isAppendedAndRead ? 0 : PUBLISH_RETRY_MS + this._random.nextInt(PUBLISH_RETRY_MS)
     this._timers.after(delayMs, () => this._sendPublication(publication))
   }
 
-  private _read (): void {
-    this._readThen(() => {})
+  private _startRead (): void {
+    this._readToEnd(() => {})
   }
 
-  /** Reads to the end of the stream. A read that is under way is followed by another one. */
-  private _readThen (onDone: (isComplete: boolean) => void): void {
+  /** Reads to the end of the stream. While another read is running, tries again after a short delay. */
+  private _readToEnd (onDone: (isComplete: boolean) => void): void {
     if (this._isReading) {
-      this._timers.after(PUBLISH_RETRY_MS / 10, () => this._readThen(onDone))
+      this._timers.after(PUBLISH_RETRY_MS / 10, () => this._readToEnd(onDone))
       return
     }
     this._isReading = true
@@ -196,76 +209,77 @@
   private _handleRead (outcome: ReadOutcome, onDone: (isComplete: boolean) => void): void {
     this._isReading = false
     if (outcome.type === 'failed') {
-      if (this._document === undefined) this._askPeers()
+      if (this._document === undefined) this._requestPeerCopies()
       onDone(false)
       return
     }
-    if (outcome.firstOffset > this._state.nextOffset) this._truncated ??= []
+    if (outcome.firstOffset > this._state.nextOffset) this._recordsAfterGap ??= []
     for (const stored of outcome.records) this._fold(stored as StoredRecord<ControlRecord>)
     if (outcome.records.length > 0 && this._state.nextOffset < outcome.endOffset) {
-      this._readThen(onDone)
+      this._readToEnd(onDone)
       return
     }
-    this._foldTruncated()
+    this._foldRecordsAfterGap()
     this._hasReadLog = true
-    this._applyDocument()
+    this._activateDocument()
     onDone(true)
   }
 
   private _fold (stored: StoredRecord<ControlRecord>): void {
     if (!isControlRecord(stored.record)) {
-      this._skip(stored)
+      this._skipRecord(stored)
       return
     }
-    if (this._truncated !== undefined) {
-      this._truncated.push(stored)
+    if (this._recordsAfterGap !== undefined) {
+      this._recordsAfterGap.push(stored)
       this._state.nextOffset = stored.offset + 1
       return
     }
-    this._oldestNeededMs ??= stored.record.atMs
-    if (stored.record.type === 'controlSnapshot') this._oldestNeededMs = stored.record.atMs
+    this._oldestNeededRecordMs ??= stored.record.atMs
+    if (stored.record.type === 'controlSnapshot') this._oldestNeededRecordMs = stored.record.atMs
     const entry = foldControlRecord(this._state, stored)
-    this._settlePublication(stored, entry)
-    // Until the end of the stream was reached once, the folded revision is only a step on the way.
-    if (this._hasReadLog) this._applyDocument()
+    this._completePublication(stored, entry)
+    // Before the end of the stream was reached once, the folded revision may be an old one.
+    if (this._hasReadLog) this._activateDocument()
     this._didFold.fire(stored)
   }
 
-  /** Notes a damaged record in the log and the audit trail, and goes on behind it. */
-  private _skip (stored: StoredRecord): void {
+  /** Skips a damaged record and reports it in the node's log and in the audit trail. */
+  private _skipRecord (stored: StoredRecord): void {
     if (stored.offset < this._state.nextOffset) return
     this._logger.warn('controlRecordSkipped', { offset: stored.offset })
-    recordSkippedRecord(this._state, stored.offset, this._clock.nowMs())
+    skipDamagedRecord(this._state, stored.offset, this._clock.nowMs())
   }
 
-  /** Rebuilds the state when older records had expired before this node read them. */
-  private _foldTruncated (): void {
-    const records = this._truncated
+  /** Rebuilds the state when records had expired before this node read them. */
+  private _foldRecordsAfterGap (): void {
+    const records = this._recordsAfterGap
     if (records === undefined) return
-    this._truncated = undefined
+    this._recordsAfterGap = undefined
     this._logger.warn('controlStreamTruncated', { firstOffset: records[0]?.offset, records: records.length })
     this._state = foldTruncatedLog(records)
-    this._oldestNeededMs = records[0]?.record.atMs
+    this._oldestNeededRecordMs = records[0]?.record.atMs
     for (const stored of records) {
-      this._settlePublication(stored, this._state.audit.find(entry => entry.offset === stored.offset))
+      this._completePublication(stored, this._state.audit.find(entry => entry.offset === stored.offset))
       this._didFold.fire(stored)
     }
   }
 
-  private _settlePublication (stored: StoredRecord<ControlRecord>, entry: AuditEntry | undefined): void {
+  /** Reports the outcome of this node's publication when its record was read back. */
+  private _completePublication (stored: StoredRecord<ControlRecord>, entry: AuditEntry | undefined): void {
     const publication = this._publications.get(stored.record.id)
     if (publication === undefined) return
     this._publications.delete(stored.record.id)
     publication.onOutcome({ type: 'folded', offset: stored.offset, entry })
   }
 
-  /** Puts the folded document in force when it differs from the current one. */
-  private _applyDocument (): void {
+  /** Activates the newest document of this node's environment unless it is active already. An invalid document is ignored. */
+  private _activateDocument (): void {
     const environment = this._newestEnvironment()
     if (environment === undefined) return
     const key = `${environment.revision}@${environment.offset}`
-    if (key === this._documentKey) return
-    this._documentKey = key
+    if (key === this._activeRevisionKey) return
+    this._activeRevisionKey = key
     parseDocument(environment.document).ifRight(document => {
       this._document = document
       this._kinds = new Map(document.workKinds.map(kind => [kind.name, kind]))
@@ -276,43 +290,44 @@
     })
   }
 
-  /** The folded configuration, or a peer's copy while that one is newer: what is in force never reverts. */
+  /** The folded configuration, or a peer's copy while that has a higher revision: the active revision must never decrease. */
   private _newestEnvironment (): EnvironmentState | undefined {
     const folded = findEnvironment(this._state, this._identity.environment)
-    const copied = this._copies.get(this._identity.environment)
-    if (copied === undefined) return folded
-    return folded === undefined || copied.revision > folded.revision ? copied : folded
+    const peerCopy = this._peerCopies.get(this._identity.environment)
+    if (peerCopy === undefined) return folded
+    return folded === undefined || peerCopy.revision > folded.revision ? peerCopy : folded
   }
 
-  /** A node that starts while the log is down takes the newest configuration that a peer knows. */
-  private _askPeers (): void {
+  /** Requests the configurations of some peers, for a node that starts while the log is unavailable. */
+  private _requestPeerCopies (): void {
     for (const peer of this._random.sample(this._membership.liveNodes(), this._settings.probeFanout + 1)) {
       if (peer.node === this._identity.node) continue
       this._peers.request(peer, { type: 'configurationRequest' }, PEER_COPY_TIMEOUT_MS, answer => {
-        if (answer.type === 'answered' && answer.body.type === 'configurationCopy') this._takeCopy(answer.body)
+        if (answer.type === 'answered' && answer.body.type === 'configurationCopy') this._applyPeerCopy(answer.body)
       })
     }
   }
 
-  private _copyForPeer (): ConfigurationCopy {
+  private _createPeerCopy (): ConfigurationCopy {
     const environments = this._state.environments.map(({ environment, revision, offset, document }) =>
       ({ environment, revision, offset, document: document as ConfigurationDocument }))
     return { type: 'configurationCopy', environments }
   }
 
-  private _takeCopy (copy: ConfigurationCopy): void {
+  /** Keeps the configurations of a peer that are newer than the copies received before. */
+  private _applyPeerCopy (copy: ConfigurationCopy): void {
     for (const { environment, revision, offset, document } of copy.environments) {
-      const known = this._copies.get(environment)
+      const known = this._peerCopies.get(environment)
       if (known !== undefined && known.revision >= revision) continue
-      this._copies.set(environment, { environment, revision, offset, document, recent: [{ revision, document }] })
+      this._peerCopies.set(environment, { environment, revision, offset, document, recent: [{ revision, document }] })
     }
-    this._applyDocument()
+    this._activateDocument()
   }
 
-  /** One live node publishes the folded state again before the records that hold it expire. */
-  private _snapshotIfDue (): void {
+  /** Publishes a snapshot of the state before the records that hold it expire. Only one live node does so. */
+  private _publishSnapshotIfDue (): void {
     const nowMs = this._clock.nowMs()
-    const isDue = this._oldestNeededMs !== undefined && nowMs - this._oldestNeededMs > this._settings.logRetentionMs * SNAPSHOT_AGE_SHARE
+    const isDue = this._oldestNeededRecordMs !== undefined && nowMs - this._oldestNeededRecordMs > this._settings.logRetentionMs * SNAPSHOT_AGE_SHARE
     if (!isDue) return
     const publisher = resolveOwner('control-snapshot', this._membership.liveNodes(), peer => peer.node)
     if (publisher?.node !== this._identity.node) return
--- a/packages/core/src/common/configuration/operatorRequests.ts
+++ b/packages/core/src/common/configuration/operatorRequests.ts
@@ -1,4 +1,4 @@
-/** Answers operators: changes, promotions, status and audit. */
+/** Handles the requests of operators: changes, promotions, status and audit. */
 import { inject, injectable } from 'tsyringe'
 import type { ApplyRequest, CallerReply, PromoteRequest } from '../kernel/callerMessages.js'
 import { Reason } from '../kernel/callerMessages.js'
@@ -25,7 +25,7 @@
   start (): void {
     this._callers.handle('apply', ({ requestId, request }) => this._apply(requestId, request))
     this._callers.handle('promote', ({ requestId, request }) => this._promote(requestId, request))
-    this._callers.handle('configuration', ({ requestId, request }) => this._callers.reply(requestId, this._view(request.environment)))
+    this._callers.handle('configuration', ({ requestId, request }) => this._callers.reply(requestId, this._createConfigurationView(request.environment)))
     this._callers.handle('audit', ({ requestId, request }) => {
       this._callers.reply(requestId, { type: 'auditView', entries: this._configuration.state.audit.slice(-request.limit) })
     })
@@ -50,18 +50,18 @@
   }
 
   private _answer (requestId: string, environment: string, outcome: PublishOutcome): void {
-    this._callers.reply(requestId, this._toReply(environment, outcome))
+    this._callers.reply(requestId, this._createReply(environment, outcome))
   }
 
-  private _toReply (environment: string, outcome: PublishOutcome): CallerReply {
-    if (outcome.type === 'failed') return { type: 'refused', reason: Reason.LogUnavailable, detail: 'the log did not take the change; it is not in force' }
-    if (outcome.type === 'ambiguous') return { type: 'refused', reason: Reason.AnswerLost, detail: 'the log did not say whether it took the change; look at the status before trying again' }
+  private _createReply (environment: string, outcome: PublishOutcome): CallerReply {
+    if (outcome.type === 'failed') return { type: 'refused', reason: Reason.LogUnavailable, detail: 'the log service did not store the change; the configuration is unchanged' }
+    if (outcome.type === 'ambiguous') return { type: 'refused', reason: Reason.AnswerLost, detail: 'the log service did not confirm the change; check the status before trying again' }
     const current = findEnvironment(this._configuration.state, environment)?.revision ?? 0
     if (outcome.entry?.outcome === 'accepted') return { type: 'accepted', environment, revision: current, offset: outcome.offset }
     return { type: 'refused', reason: Reason.Conflict, detail: outcome.entry?.detail ?? 'the change had no effect', currentRevision: current }
   }
 
-  private _view (environment: string | undefined): CallerReply {
+  private _createConfigurationView (environment: string | undefined): CallerReply {
     const environments = this._configuration.state.environments
       .filter(state => environment === undefined || state.environment === environment)
       .map(({ environment, revision, offset, document }) => ({ environment, revision, offset, document: document as ConfigurationDocument }))
