--- a/packages/core/src/common/engines/engineMemory.ts
+++ b/packages/core/src/common/engines/engineMemory.ts
@@ -1,4 +1,4 @@
-/** Releases key-value cache that engines hold for programs that are gone. */
+/** Releases the key-value cache that engines still hold for closed or unknown programs. */
 import { inject, injectable } from 'tsyringe'
 import { IBackends } from '../kernel/backendPort.js'
 import { ILogger } from '../kernel/effectQueue.js'
@@ -20,16 +20,19 @@
 
 const CALL_TIMEOUT_MS = 2_000
 const QUERY_TIMEOUT_MS = 1_000
-/** A session is asked about only when it was seen in so many reports, so that programs just opened are left alone. */
+/** A session is queried only after this many reports, because its program may just have been opened. */
 const REPORTS_BEFORE_QUERY = 5
 const SESSIONS_PER_QUERY = 200
 
-/** The lead's sweep of what its engines hold, and the release at the end of programs. */
+/**
+ * Releases the cache of a program when it closes. The coordinator of a worker also compares the sessions that the engine
+ * reports with the open programs, because a release may be lost and an owner may crash.
+ */
 @injectable()
 export class EngineMemory {
-  /** Reports in which a session was seen while no open program here owned it. */
-  private readonly _seen = new Map<string, number>()
-  /** Sequence of the next cache event to read, by worker. */
+  /** Number of reports that held a session while this node had no open program for it, by session. */
+  private readonly _unownedReportCounts = new Map<string, number>()
+  /** Sequence number of the next cache event to read, by worker. */
   private readonly _nextSequences = new Map<string, number>()
 
   constructor (
@@ -40,8 +43,8 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IMembership) private readonly _membership: IMembership,
     @inject(IPeers) private readonly _peers: IPeers,
-    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
-    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
+    @inject(ICoordinatorTable) private readonly _coordinators: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _workerCoordinator: IWorkerCoordinator,
     @inject(IProgramTable) private readonly _programs: IProgramTable,
     @inject(ITakeover) private readonly _takeover: ITakeover,
     @inject(ILogger) private readonly _logger: ILogger
@@ -50,23 +53,23 @@
   start (): void {
     this._programs.onDidClose(program => this._releaseAll(program))
     this._peers.handle('heldQuery', (body, _from, respond) => {
-      respond({ type: 'heldAnswer', gone: body.programIds.filter(programId => this._isGone(programId)) })
+      respond({ type: 'heldAnswer', gone: body.programIds.filter(programId => this._isClosedOrUnknown(programId)) })
     })
-    this._timers.every(this._settings.enginePollMs, () => this._poll())
+    this._timers.every(this._settings.enginePollMs, () => this._pollWorkers())
   }
 
   private _releaseAll (program: LiveProgram): void {
     for (const { worker } of program.state.workers) {
       this._release(worker, program.state.programId)
-      this._noteLeft(worker, program.state.programId)
+      this._reportProgramLeft(worker, program.state.programId)
     }
   }
 
-  private _noteLeft (worker: string, programId: string): void {
-    const lead = this._leadTable.coordinatorOf(worker)
-    if (lead === undefined) return
-    if (lead.node === this._identity.node) this._leads.removeProgram(worker, programId)
-    else this._peers.send(lead, { type: 'residentNotice', worker, programId })
+  private _reportProgramLeft (worker: string, programId: string): void {
+    const coordinator = this._coordinators.coordinatorOf(worker)
+    if (coordinator === undefined) return
+    if (coordinator.node === this._identity.node) this._workerCoordinator.removeProgram(worker, programId)
+    else this._peers.send(coordinator, { type: 'residentNotice', worker, programId })
   }
 
   private _release (worker: string, session: string): void {
@@ -74,11 +77,11 @@
     if (target !== undefined) this._backends.call(target, { type: 'release', session }, CALL_TIMEOUT_MS, () => {})
   }
 
-  private _poll (): void {
+  private _pollWorkers (): void {
     const engines = (this._configuration.document?.backends ?? []).filter(backend => backend.type === 'modelEngine')
     for (const backend of new Set(engines.map(engine => engine.pool ?? engine.name))) {
       for (const worker of this._membership.workers(backend)) {
-        if (this._leadTable.isCoordinator(worker.worker)) this._pollWorker(worker)
+        if (this._coordinators.isCoordinator(worker.worker)) this._pollWorker(worker)
       }
     }
   }
@@ -86,85 +89,89 @@
   private _pollWorker (worker: WorkerInfo): void {
     this._readCacheEvents(worker)
     this._backends.call(worker, { type: 'status' }, CALL_TIMEOUT_MS, event => {
-      if (event.type === 'status') this._sweep(worker, event.status)
+      if (event.type === 'status') this._checkHeldSessions(worker, event.status)
       else if (event.type === 'failed' && event.isLeaving) this._membership.markLeaving(worker.worker)
     })
   }
 
-  /** Events only take cached histories off the map: late as they are, they prove no presence. */
+  /** Applies only evictions. Events arrive late, so a `stored` event does not prove that the engine still holds the cache. */
   private _readCacheEvents (worker: WorkerInfo): void {
     const fromSequence = this._nextSequences.get(worker.worker) ?? 0
     this._backends.call(worker, { type: 'cacheEvents', fromSequence }, CALL_TIMEOUT_MS, event => {
       if (event.type !== 'cacheEvents') return
       for (const change of event.events) {
         this._nextSequences.set(worker.worker, change.sequence + 1)
-        if (change.kind === 'evicted') this._noteEvicted(worker.worker, change.session)
+        if (change.kind === 'evicted') this._removeEvictedWorker(worker.worker, change.session)
       }
     })
   }
 
-  /** A program whose history was evicted may go to any worker at its next step. */
-  private _noteEvicted (worker: string, session: string): void {
+  /** Removes the worker from an idle program whose cache it evicted. The next step may then run on any worker. */
+  private _removeEvictedWorker (worker: string, session: string): void {
     const program = this._programs.get(session)
     if (program === undefined || program.running !== undefined) return
     program.state.workers = program.state.workers.filter(entry => entry.worker !== worker)
   }
 
-  private _sweep (worker: WorkerInfo, status: EngineStatus): void {
-    const doubtful = status.heldSessions.map(held => held.session).filter(session => this._isDoubtful(session))
-    const byNode = new Map<string, string[]>()
-    for (const session of doubtful.slice(0, SESSIONS_PER_QUERY)) {
-      const node = this._nodeToAsk(session)
+  /** Releases the sessions of a load report that no open program owns, after a query of the owner where there is one. */
+  private _checkHeldSessions (worker: WorkerInfo, status: EngineStatus): void {
+    const unownedSessions = status.heldSessions.map(held => held.session).filter(session => this._isQueryDue(session))
+    const sessionsByNode = new Map<string, string[]>()
+    for (const session of unownedSessions.slice(0, SESSIONS_PER_QUERY)) {
+      const node = this._findNodeToQuery(session)
       if (node === undefined) this._release(worker.worker, session)
-      else byNode.set(node.node, [...(byNode.get(node.node) ?? []), session])
+      else sessionsByNode.set(node.node, [...(sessionsByNode.get(node.node) ?? []), session])
     }
-    for (const [node, sessions] of byNode) this._ask(worker, node, sessions)
+    for (const [node, sessions] of sessionsByNode) this._querySessions(worker, node, sessions)
   }
 
-  /** Sessions that no open program of this node owns, once they were reported often enough. */
-  private _isDoubtful (session: string): boolean {
+  /** Counts a report of a session without an open program on this node. True when it was reported often enough for a query. */
+  private _isQueryDue (session: string): boolean {
     const program = this._programs.get(session)
     if (program !== undefined && program.closedAtMs === undefined) {
-      this._seen.delete(session)
+      this._unownedReportCounts.delete(session)
       return false
     }
-    const count = (this._seen.get(session) ?? 0) + 1
-    this._seen.set(session, count)
+    const count = (this._unownedReportCounts.get(session) ?? 0) + 1
+    this._unownedReportCounts.set(session, count)
     if (count < REPORTS_BEFORE_QUERY) return false
-    this._seen.delete(session)
+    this._unownedReportCounts.delete(session)
     return true
   }
 
-  /** The node that should know the program: its home by id, or the adopter of that home's journal. */
-  private _nodeToAsk (session: string): PeerInfo | undefined {
+  /**
+   * The node that should know the program: the owner that its id names, or the new owner of that node's journal. Undefined
+   * when the session is no program id or no such node is known.
+   */
+  private _findNodeToQuery (session: string): PeerInfo | undefined {
     const origin = parseProgramId(session)
     if (origin === undefined) return undefined
-    const home = { node: origin.node, incarnation: origin.incarnation, address: '' }
-    if (this._membership.isAlive(home)) return this._membership.findNode(origin.node)
+    const owner = { node: origin.node, incarnation: origin.incarnation, address: '' }
+    if (this._membership.isAlive(owner)) return this._membership.findNode(origin.node)
     return this._membership.findNode(this._takeover.resolveNewOwner(journalOf(origin)) ?? '')
   }
 
-  private _ask (worker: WorkerInfo, nodeName: string, sessions: string[]): void {
+  private _querySessions (worker: WorkerInfo, nodeName: string, sessions: string[]): void {
     const node = this._membership.findNode(nodeName)
     if (node === undefined) return
     if (node.node === this._identity.node) {
-      this._releaseGone(worker, sessions.filter(session => this._isGone(session)))
+      this._releaseSessions(worker, sessions.filter(session => this._isClosedOrUnknown(session)))
       return
     }
     this._peers.request(node, { type: 'heldQuery', programIds: sessions }, QUERY_TIMEOUT_MS, answer => {
-      if (answer.type === 'answered' && answer.body.type === 'heldAnswer') this._releaseGone(worker, answer.body.gone)
+      if (answer.type === 'answered' && answer.body.type === 'heldAnswer') this._releaseSessions(worker, answer.body.gone)
     })
   }
 
-  private _releaseGone (worker: WorkerInfo, sessions: string[]): void {
+  private _releaseSessions (worker: WorkerInfo, sessions: string[]): void {
     for (const session of sessions) {
       this._logger.info('cacheReleased', { worker: worker.worker, program: session })
       this._release(worker.worker, session)
     }
   }
 
-  /** The worst of a wrong answer is that a cached history is computed again. */
-  private _isGone (programId: string): boolean {
+  /** A wrong answer costs no more than computing a cached history again. */
+  private _isClosedOrUnknown (programId: string): boolean {
     const program = this._programs.get(programId)
     return program === undefined || program.closedAtMs !== undefined
   }
--- a/packages/core/src/common/engines/engineOrders.ts
+++ b/packages/core/src/common/engines/engineOrders.ts
@@ -1,4 +1,7 @@
-/** Orders engines to load models: by demand, one lead a worker, with the log's offset as the fencing number. */
+/**
+ * Orders engines to load models, according to the load of the workers that share a pool. Only the coordinator of a worker
+ * sends orders to it, with the offset of the order's record in the log as the fencing number.
+ */
 import { inject, injectable } from 'tsyringe'
 import { IBackends } from '../kernel/backendPort.js'
 import { IClock } from '../kernel/clock.js'
@@ -18,17 +21,17 @@
 import { chooseMove, type ModelLoad } from './poolBalance.js'
 
 const BALANCE_PERIOD_MS = 10_000
-/** Time between two changes in one pool, so that no worker goes back and forth. */
+/** Shortest time between two changes in one pool; it prevents a worker from switching back and forth. */
 const POOL_COOLDOWN_MS = 30_000
-const DEMAND_TIMEOUT_MS = 1_000
+const WORKER_LOAD_QUERY_TIMEOUT_MS = 1_000
 const STATUS_TIMEOUT_MS = 2_000
-const LOAD_TIMEOUT_MS = 10_000
-/** Loading takes minutes where the weight store is busy; an order is repeated only after this time. */
-const LOAD_REPEAT_MS = 300_000
+const MODEL_ORDER_TIMEOUT_MS = 10_000
+/** An accepted order is repeated only after this time, because loading takes minutes while the weight store is busy. */
+const MODEL_ORDER_REPEAT_MS = 300_000
 const PUBLISH_TIMEOUT_MS = 10_000
 
-/** An order that was sent and accepted. */
-interface SentOrder {
+/** An order that the engine accepted. */
+interface AcceptedModelOrder {
   model: string
   fencingNumber: number
   atMs: number
@@ -36,9 +39,9 @@
 
 @injectable()
 export class EngineOrders {
-  /** Workers for which a claim or an order is on its way. */
-  private readonly _underWay = new Set<string>()
-  private readonly _sent = new Map<string, SentOrder>()
+  /** Workers whose order is being published or sent. */
+  private readonly _workersWithPendingOrder = new Set<string>()
+  private readonly _acceptedOrders = new Map<string, AcceptedModelOrder>()
 
   constructor (
     @inject(NodeIdentity) private readonly _identity: NodeIdentity,
@@ -49,86 +52,90 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IMembership) private readonly _membership: IMembership,
     @inject(IPeers) private readonly _peers: IPeers,
-    @inject(ICoordinatorTable) private readonly _leadTable: ICoordinatorTable,
-    @inject(IWorkerCoordinator) private readonly _leads: IWorkerCoordinator,
+    @inject(ICoordinatorTable) private readonly _coordinators: ICoordinatorTable,
+    @inject(IWorkerCoordinator) private readonly _workerCoordinator: IWorkerCoordinator,
     @inject(IModelPools) private readonly _pools: IModelPools,
     @inject(ILogger) private readonly _logger: ILogger
   ) {}
 
   start (): void {
-    this._peers.handle('demandRequest', (body, _from, respond) => respond({ type: 'demandAnswer', workers: this._ownDemand(body.pool) }))
+    this._peers.handle('demandRequest', (body, _from, respond) => respond({ type: 'demandAnswer', workers: this._ownWorkerLoads(body.pool) }))
     this._configuration.onDidFold(({ record }) => {
-      if (record.type === 'engineOrdered') this._leads.pauseWorker(record.worker)
+      if (record.type === 'engineOrdered') this._workerCoordinator.pauseWorker(record.worker)
     })
-    this._timers.every(this._settings.enginePollMs, () => this._checkLedWorkers())
-    this._timers.every(BALANCE_PERIOD_MS, () => this._balance())
+    this._timers.every(this._settings.enginePollMs, () => this._checkCoordinatedWorkers())
+    this._timers.every(BALANCE_PERIOD_MS, () => this._balancePools())
   }
 
-  // The lead's side: every led worker of a pool gets the model that the log assigns to it.
+  // For the coordinator of a worker: each coordinated worker of a pool loads the model that the log assigns to it.
 
-  private _checkLedWorkers (): void {
+  private _checkCoordinatedWorkers (): void {
     if (this._membership.isDraining) return
     for (const pool of this._pools.pools()) {
       for (const worker of this._membership.workers(pool)) {
-        if (this._leadTable.isCoordinator(worker.worker) && !this._underWay.has(worker.worker)) this._check(worker)
+        if (this._coordinators.isCoordinator(worker.worker) && !this._workersWithPendingOrder.has(worker.worker)) this._checkModel(worker)
       }
     }
   }
 
-  private _check (worker: WorkerInfo): void {
+  private _checkModel (worker: WorkerInfo): void {
     this._backends.call(worker, { type: 'status' }, STATUS_TIMEOUT_MS, event => {
-      if (event.type !== 'status' || this._underWay.has(worker.worker)) return
-      const wanted = this._pools.backendOf(worker)
-      if (wanted === undefined) return
-      if (event.status.model === wanted.name) {
-        this._sent.delete(worker.worker)
-        this._leads.resumeWorker(worker.worker)
+      if (event.type !== 'status' || this._workersWithPendingOrder.has(worker.worker)) return
+      const assigned = this._pools.backendOf(worker)
+      if (assigned === undefined) return
+      if (event.status.model === assigned.name) {
+        this._acceptedOrders.delete(worker.worker)
+        this._workerCoordinator.resumeWorker(worker.worker)
         return
       }
-      this._leads.pauseWorker(worker.worker)
-      this._order(worker, wanted.name, wanted.checksFencing ? 0 : wanted.orderLifetimeMs)
+      this._workerCoordinator.pauseWorker(worker.worker)
+      this._orderModel(worker, assigned.name, assigned.checksFencing ? 0 : assigned.orderLifetimeMs)
     })
   }
 
-  /** Claims the worker first; the order follows once the claim is folded and older orders cannot arrive any more. */
-  private _order (worker: WorkerInfo, model: string, waitOutMs: number): void {
+  /**
+   * Publishes an order first. The engine gets it once the record was read back, the worker's running calls have ended and
+   * the record is at least `minOrderAgeMs` old, after which no older order can arrive any more.
+   */
+  private _orderModel (worker: WorkerInfo, model: string, minOrderAgeMs: number): void {
     const order = this._configuration.state.engineOrders.find(candidate => candidate.worker === worker.worker)
-    const isOwnClaim = order !== undefined && order.model === model && order.by.node === this._identity.node && order.by.incarnation === this._identity.incarnation
-    if (!isOwnClaim) {
-      this._claim(worker.worker, model)
+    const isOwnOrder = order !== undefined && order.model === model && order.by.node === this._identity.node && order.by.incarnation === this._identity.incarnation
+    if (!isOwnOrder) {
+      this._publishOrder(worker.worker, model)
       return
     }
-    const isDrained = (this._leads.queueOf(worker.worker)?.inFlightCount ?? 0) === 0
-    const isWaitedOut = this._clock.nowMs() - order.atMs >= waitOutMs
-    if (!isDrained || !isWaitedOut || this._isLoading(worker.worker, order.fencingNumber)) return
-    this._underWay.add(worker.worker)
+    const isDrained = (this._workerCoordinator.queueOf(worker.worker)?.inFlightCount ?? 0) === 0
+    const isOldEnough = this._clock.nowMs() - order.atMs >= minOrderAgeMs
+    if (!isDrained || !isOldEnough || this._isLoading(worker.worker, order.fencingNumber)) return
+    this._workersWithPendingOrder.add(worker.worker)
     this._logger.info('modelOrdered', { worker: worker.worker, model, fencingNumber: order.fencingNumber })
     const { fencingNumber } = order
-    this._backends.call(worker, { type: 'load', model, fencingNumber }, LOAD_TIMEOUT_MS, event => {
-      this._underWay.delete(worker.worker)
-      if (event.type === 'ok') this._sent.set(worker.worker, { model, fencingNumber, atMs: this._clock.nowMs() })
+    this._backends.call(worker, { type: 'load', model, fencingNumber }, MODEL_ORDER_TIMEOUT_MS, event => {
+      this._workersWithPendingOrder.delete(worker.worker)
+      if (event.type === 'ok') this._acceptedOrders.set(worker.worker, { model, fencingNumber, atMs: this._clock.nowMs() })
     })
   }
 
   private _isLoading (worker: string, fencingNumber: number): boolean {
-    const sent = this._sent.get(worker)
-    return sent !== undefined && sent.fencingNumber === fencingNumber && this._clock.nowMs() - sent.atMs < LOAD_REPEAT_MS
+    const accepted = this._acceptedOrders.get(worker)
+    return accepted !== undefined && accepted.fencingNumber === fencingNumber && this._clock.nowMs() - accepted.atMs < MODEL_ORDER_REPEAT_MS
   }
 
-  private _claim (worker: string, model: string): void {
-    this._underWay.add(worker)
+  /** Publishes an order, which assigns the model to the worker at every node. */
+  private _publishOrder (worker: string, model: string): void {
+    this._workersWithPendingOrder.add(worker)
     const { node, incarnation, address } = this._identity
     const record = { type: 'engineOrdered', worker, model, by: { node, incarnation, address }, atMs: this._clock.nowMs() } as const
-    this._configuration.publish(record, PUBLISH_TIMEOUT_MS, () => { this._underWay.delete(worker) })
+    this._configuration.publish(record, PUBLISH_TIMEOUT_MS, () => { this._workersWithPendingOrder.delete(worker) })
   }
 
-  // The pool's side: one node compares the demand of its models.
+  // For the node that balances a pool: it compares the loads of the models.
 
-  private _balance (): void {
+  private _balancePools (): void {
     if (this._membership.isDraining) return
     for (const pool of this._pools.pools()) {
       const balancer = resolveOwner(pool, this._membership.liveNodes(), peer => peer.node)
-      if (balancer?.node === this._identity.node && !this._isCoolingDown(pool)) this._collectDemand(pool, demands => this._moveOne(pool, demands))
+      if (balancer?.node === this._identity.node && !this._isCoolingDown(pool)) this._collectWorkerLoads(pool, workerLoads => this._moveWorker(pool, workerLoads))
     }
   }
 
@@ -137,45 +144,46 @@
     return this._configuration.state.engineOrders.some(order => workers.has(order.worker) && this._clock.nowMs() - order.atMs < POOL_COOLDOWN_MS)
   }
 
-  private _collectDemand (pool: string, onCollected: (demands: WorkerDemand[]) => void): void {
-    const leads = new Set(this._membership.workers(pool).flatMap(worker => this._leadTable.coordinatorOf(worker.worker)?.node ?? []))
-    const demands = this._ownDemand(pool)
-    leads.delete(this._identity.node)
-    let missing = leads.size
-    if (missing === 0) onCollected(demands)
-    for (const name of leads) {
-      const lead = this._membership.findNode(name)
-      const settle = () => {
-        missing--
-        if (missing === 0) onCollected(demands)
+  /** Collects the loads of a pool's workers from their coordinators, without those of a coordinator that does not answer in time. */
+  private _collectWorkerLoads (pool: string, onComplete: (workerLoads: WorkerDemand[]) => void): void {
+    const coordinators = new Set(this._membership.workers(pool).flatMap(worker => this._coordinators.coordinatorOf(worker.worker)?.node ?? []))
+    const collectedLoads = this._ownWorkerLoads(pool)
+    coordinators.delete(this._identity.node)
+    let pendingCount = coordinators.size
+    if (pendingCount === 0) onComplete(collectedLoads)
+    for (const name of coordinators) {
+      const coordinator = this._membership.findNode(name)
+      const handleAnswered = () => {
+        pendingCount--
+        if (pendingCount === 0) onComplete(collectedLoads)
       }
-      if (lead === undefined) {
-        settle()
+      if (coordinator === undefined) {
+        handleAnswered()
         continue
       }
-      this._peers.request(lead, { type: 'demandRequest', pool }, DEMAND_TIMEOUT_MS, answer => {
-        if (answer.type === 'answered' && answer.body.type === 'demandAnswer') demands.push(...answer.body.workers)
-        settle()
+      this._peers.request(coordinator, { type: 'demandRequest', pool }, WORKER_LOAD_QUERY_TIMEOUT_MS, answer => {
+        if (answer.type === 'answered' && answer.body.type === 'demandAnswer') collectedLoads.push(...answer.body.workers)
+        handleAnswered()
       })
     }
   }
 
-  private _ownDemand (pool: string): WorkerDemand[] {
+  private _ownWorkerLoads (pool: string): WorkerDemand[] {
     return this._membership.workers(pool)
-      .filter(worker => this._leadTable.isCoordinator(worker.worker))
-      .map(worker => ({ worker: worker.worker, demand: this._leads.demandOf(worker.worker) }))
+      .filter(worker => this._coordinators.isCoordinator(worker.worker))
+      .map(worker => ({ worker: worker.worker, demand: this._workerCoordinator.demandOf(worker.worker) }))
   }
 
-  private _moveOne (pool: string, demands: WorkerDemand[]): void {
-    const demandOf = new Map(demands.map(({ worker, demand }) => [worker, demand]))
+  private _moveWorker (pool: string, workerLoads: WorkerDemand[]): void {
+    const loadByWorker = new Map(workerLoads.map(({ worker, demand }) => [worker, demand]))
     const loads = this._pools.modelsOf(pool).map(({ name }): ModelLoad => {
       const workers = this._pools.workersOf(name).map(worker => worker.worker)
-      workers.sort((left, right) => (demandOf.get(left) ?? 0) - (demandOf.get(right) ?? 0))
-      return { model: name, workers, demand: workers.reduce((sum, worker) => sum + (demandOf.get(worker) ?? 0), 0) }
+      workers.sort((left, right) => (loadByWorker.get(left) ?? 0) - (loadByWorker.get(right) ?? 0))
+      return { model: name, workers, load: workers.reduce((sum, worker) => sum + (loadByWorker.get(worker) ?? 0), 0) }
     })
     const move = chooseMove(loads)
     if (move === undefined) return
     this._logger.info('poolRebalanced', { pool, worker: move.worker, from: move.from, to: move.to })
-    this._claim(move.worker, move.to)
+    this._publishOrder(move.worker, move.to)
   }
 }
--- a/packages/core/src/common/engines/engines.contribution.ts
+++ b/packages/core/src/common/engines/engines.contribution.ts
@@ -1,3 +1,4 @@
+/** Plug-in of the model engines: model pools, orders to load models and the release of cache. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
 import { EngineMemory } from './engineMemory.js'
 import { EngineOrders } from './engineOrders.js'
--- a/packages/core/src/common/engines/modelPools.ts
+++ b/packages/core/src/common/engines/modelPools.ts
@@ -1,4 +1,4 @@
-/** Which worker serves which model, where several models share a pool of workers. */
+/** Assignment of workers to models, where several models share a pool of workers. */
 import { inject, injectable } from 'tsyringe'
 import { resolveOwner } from '../base/rendezvous.js'
 import { IConfiguration } from '../configuration/configuration.js'
@@ -6,15 +6,15 @@
 import { IMembership } from '../membership/membership.js'
 import type { WorkerInfo } from '../membership/workerDirectory.js'
 
-/** Assigns the workers of pools to models. Every node derives the same from the control stream. */
+/** Assigns the workers of pools to models. Every node derives the same assignment from the control stream. */
 export interface IModelPools {
-  /** Workers that are meant to serve a back end. */
+  /** Workers that are assigned to a back end and may get new work. */
   workersOf (backend: string): WorkerInfo[]
-  /** The back end that a worker is meant to serve; undefined when no document names it. */
+  /** The back end that a worker is assigned to; undefined when the active document does not name it. */
   backendOf (worker: WorkerInfo): Backend | undefined
-  /** Names of the pools in the document in force. */
+  /** Sorted names of the pools in the active document. */
   pools (): string[]
-  /** Back ends that share a pool, by name. */
+  /** Back ends that share the named pool, in the order of the document. */
   modelsOf (pool: string): Backend[]
 }
 export const IModelPools = Symbol('IModelPools')
@@ -32,7 +32,7 @@
     return this._membership.workers(pool).filter(worker => this.backendOf(worker)?.name === backend)
   }
 
-  /** The model of the last order in the log, or the same choice at every node for a worker that got none. */
+  /** The model of the worker's last order in the log; without one, a choice by the worker's name that is the same at every node. */
   backendOf (worker: WorkerInfo): Backend | undefined {
     const models = this.modelsOf(worker.backend)
     if (models.length === 0) return this._configuration.findBackend(worker.backend)
--- a/packages/core/src/common/engines/poolBalance.ts
+++ b/packages/core/src/common/engines/poolBalance.ts
@@ -1,39 +1,43 @@
 /** Decides whether a worker of a pool should change its model. */
 
-/** How busy the workers of one model are. */
+/** Load of the workers of one model. */
 export interface ModelLoad {
   model: string
-  /** Workers that serve the model now, the least busy first. */
+  /** Workers that are assigned to the model, the least loaded first. */
   workers: string[]
-  /** Calls that run or wait, and programs that were refused lately. */
-  demand: number
+  /** Running and waiting calls, and programs that were refused recently, at all of these workers. */
+  load: number
 }
 
+/** A worker that changes its model. */
 export interface PoolMove {
   worker: string
   from: string
   to: string
 }
 
-/** Demand a worker above which a model counts as short of workers. */
-const BUSY_DEMAND = 10
-/** The model short of workers must have so many times the demand a worker of the model that gives one up. */
+/** Load per worker from which a model counts as short of workers. */
+const MIN_BUSY_LOAD_PER_WORKER = 10
+/** Least ratio of the load per worker of the model short of workers to the one that the other model has after the move. */
 const IMBALANCE_FACTOR = 2
 
 /**
- * Moves one worker from the least to the most loaded model, if the difference is large. A model keeps its last worker.
+ * Chooses one worker to move from the least to the most loaded model, if the difference is large. A model keeps its last
+ * worker.
+ *
+ * @returns undefined when no worker should move.
  *
  * @example
- * chooseMove([{ model: 'a', workers: ['w1'], demand: 40 }, { model: 'b', workers: ['w2', 'w3'], demand: 2 }])
+ * chooseMove([{ model: 'a', workers: ['w1'], load: 40 }, { model: 'b', workers: ['w2', 'w3'], load: 2 }])
  * // { worker: 'w2', from: 'b', to: 'a' }
  */
 export function chooseMove (loads: ModelLoad[]): PoolMove | undefined {
-  const perWorker = (load: ModelLoad) => load.demand / Math.max(1, load.workers.length)
-  const byLoad = [...loads].sort((left, right) => perWorker(right) - perWorker(left))
+  const loadPerWorker = (candidate: ModelLoad) => candidate.load / Math.max(1, candidate.workers.length)
+  const byLoad = [...loads].sort((left, right) => loadPerWorker(right) - loadPerWorker(left))
   const busiest = byLoad.at(0)
   const donor = byLoad.reverse().find(load => load.workers.length > 1 && load.model !== busiest?.model)
-  if (busiest === undefined || donor === undefined || perWorker(busiest) < BUSY_DEMAND) return undefined
-  const afterMove = donor.demand / (donor.workers.length - 1)
-  if (perWorker(busiest) < IMBALANCE_FACTOR * afterMove) return undefined
+  if (busiest === undefined || donor === undefined || loadPerWorker(busiest) < MIN_BUSY_LOAD_PER_WORKER) return undefined
+  const donorLoadAfterMove = donor.load / (donor.workers.length - 1)
+  if (loadPerWorker(busiest) < IMBALANCE_FACTOR * donorLoadAfterMove) return undefined
   return { worker: donor.workers[0], from: donor.model, to: busiest.model }
 }
--- a/packages/core/test/common/kernel/random.test.ts
+++ b/packages/core/test/common/kernel/random.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert'
 import { SeededRandom } from '@trefoilshunt/core'
 
-test('the first values of neighbouring seeds are spread evenly', () => {
+test('the first values of consecutive seeds are evenly distributed', () => {
   const firsts = Array.from({ length: 1_000 }, (_, seed) => new SeededRandom(seed).next())
   const mean = firsts.reduce((sum, value) => sum + value, 0) / firsts.length
   assert.ok(Math.abs(mean - 0.5) < 0.05, `mean ${mean}`)
