--- a/packages/core/src/common/kernel/backendPort.ts
+++ b/packages/core/src/common/kernel/backendPort.ts
@@ -1,10 +1,11 @@
-/** Calls of backend servers. */
+/** Port for calls to backend servers. */
 import { inject, injectable } from 'tsyringe'
 import { IEffects } from './effectQueue.js'
 import type { BackendRequest } from './effects.js'
 import type { BackendEvent } from './events.js'
 import { type IDisposable, toDisposable } from './lifecycle.js'
 
+/** A worker and its `host:port`. */
 export interface BackendTarget {
   worker: string
   address: string
@@ -14,7 +15,7 @@
 export interface IBackends {
   /**
    * Starts a call. The listener gets any number of `chunk` events and then exactly one final event.
-   * Disposing the result cancels the call; no event follows.
+   * Disposing the result cancels the call; no event follows then.
    */
   call (target: BackendTarget, request: BackendRequest, timeoutMs: number, listener: (event: BackendEvent) => void): IDisposable
 }
@@ -35,6 +36,7 @@
     })
   }
 
+  /** Passes an event of a call, as the host reports it, to the call's listener. */
   handleEvent (callId: number, event: BackendEvent): void {
     const listener = this._listeners.get(callId)
     if (event.type !== 'chunk') this._listeners.delete(callId)
--- a/packages/core/src/common/kernel/callerMessages.ts
+++ b/packages/core/src/common/kernel/callerMessages.ts
@@ -1,4 +1,4 @@
-/** Requests of callers and operators, and the answers they get. Shapes only; the HTTP mapping is in `protocol`. */
+/** Types of the requests of callers and operators and of the replies. The mapping to HTTP is in the package `protocol`. */
 import type { ConfigurationDocument } from '../configuration/document.js'
 import type { AuditEntry } from '../configuration/controlRecords.js'
 import type { NodeRef } from './node.js'
@@ -9,44 +9,47 @@
   content: string
 }
 
-/** A call of a model engine: the messages that are new since the last turn. */
+/** A call of a model engine, with the messages that are new since the last turn. */
 export interface ModelCall {
   type: 'model'
-  /** Model back end; the first one of the work kind when absent. */
+  /** Back end of the model; the first one of the work kind when absent. */
   model?: string
   messages: ChatMessage[]
+  /** Maximum number of tokens to generate. */
   maxTokens: number
 }
 
-/** A call of a plain service. */
+/** A call of a service that is not a model engine. */
 export interface ServiceCall {
   type: 'service'
   service: string
   path: string
   body: unknown
-  /** False for deposits, bookings and the like: such a call runs at most once. */
+  /** False for calls such as deposits and bookings, which run at most once. */
   isRepeatable: boolean
 }
 
 export type StepCall = ModelCall | ServiceCall
 
-/** What a model call produced. */
+/** Result of a model call. */
 export interface ModelResult {
   type: 'model'
   text: string
   promptTokens: number
   completionTokens: number
+  /** Prompt tokens that the engine had in its cache. */
   cachedTokens: number
 }
 
-/** What a service answered. */
+/** Answer of a service. */
 export interface ServiceResult {
   type: 'service'
+  /** HTTP status. */
   status: number
   body: unknown
 }
 
-/** The recorded fate of a non-repeatable call that nobody can tell. */
+/** Recorded in place of a result when the outcome of a non-repeatable call cannot be determined. */
 export interface UnknownResult {
   type: 'unknown'
 }
@@ -83,18 +86,19 @@
 } as const
 export type Reason = typeof Reason[keyof typeof Reason]
 
+/** Limits of a program together with its sub-agents. */
 export interface Budget {
-  /** Prompt tokens added by the caller plus tokens generated, retries included. */
+  /** Prompt tokens added by the caller plus generated tokens, including those of retries. */
   tokens: number
   steps: number
-  /** Calls of plain services. */
+  /** Calls of services that are not model engines. */
   toolCalls: number
   wallTimeMs: number
-  /** Levels of sub-agents below the first program. */
+  /** Levels of sub-agents below the root program. */
   depth: number
 }
 
-/** One completed step, as callers may re-supply it. */
+/** One completed step, in the form in which a caller may supply it again. */
 export interface Turn {
   step: number
   key: string
@@ -102,21 +106,24 @@
   result: StepResult
 }
 
+/** Opens a program. */
 export interface OpenRequest {
   type: 'open'
   customer: string
   kind: string
-  /** Resending with the same key opens no second program at the same node. */
+  /** Sending the request again with the same key opens no second program on the same node. */
   key: string
+  /** Id of the parent program; present for a sub-agent. */
   parent?: string
-  /** The caller's copy of the parent program, sent after a `historyNeeded`. */
+  /** The caller's copy of the parent program, sent after a `historyNeeded` reply. */
   parentCopy?: { kind: string, history: Turn[], historyDigest: string }
-  /** Latency that the caller is promised, in place of the work kind's target. */
+  /** Latency target of the program, in place of the work kind's target. */
   targetMs?: number
-  /** Worker that the first node has chosen; its lead becomes the program's home. */
+  /** Worker chosen by the node that received the request; the worker's coordinator becomes the program's owner. */
   placedWorker?: string
 }
 
+/** Runs a step of a program, or returns its recorded result. */
 export interface StepRequest {
   type: 'step'
   customer: string
@@ -124,16 +131,18 @@
   /** 1 for the first step. */
   step: number
   key: string
-  /** Digest of the history that the caller knows before this step. */
+  /** Digest of the caller's history before this step. */
   historyDigest: string
   call: StepCall
-  /** True when the caller has sent this step before and got no final answer. */
+  /** True when the caller has sent this step before and received no final answer. */
   isResend: boolean
+  /** True when the caller wants `chunk` replies while the model generates. */
   isStreamed: boolean
-  /** Milliseconds that the caller will wait. */
+  /** Time for which the caller waits, in milliseconds. */
   timeoutMs: number
-  /** The caller's copy of the history, sent after a `historyNeeded`. */
+  /** The caller's copy of the history, sent after a `historyNeeded` reply. */
   history?: Turn[]
+  /** Work kind of the program; an owner without the program needs it to rebuild it. */
   kind?: string
 }
 
@@ -150,34 +159,37 @@
 export type CallerRequest = OpenRequest | StepRequest | CancelRequest | CloseRequest | ProgramQuery | AddressQuery |
   ApplyRequest | PromoteRequest | ConfigurationQuery | AuditQuery | ProgramListQuery
 
+/** The program is open at its owner, `home`. */
 export interface Opened {
   type: 'opened'
   programId: string
   home: NodeRef
   historyDigest: string
+  /** False when the reply was sent before the log had stored the opening. */
   durable: boolean
 }
 
+/** The step is complete. */
 export interface Done {
   type: 'done'
   programId: string
   step: number
   result: ModelResult | ServiceResult
-  /** Digest of the history including this step. */
+  /** Digest of the history with this step. */
   historyDigest: string
-  /** False when the result was answered before the log had it. */
+  /** False when the reply was sent before the log had stored the result. */
   durable: boolean
   home: NodeRef
 }
 
-/** Nothing of the request reached a back end. */
+/** No back end ran the request. */
 export interface NotRun {
   type: 'notRun'
   reason: Reason
   detail: string
   retryAfterMs?: number
   home?: NodeRef
-  /** The next step and the digest that the home would accept. */
+  /** The next step and the history digest that the owner would accept. */
   expected?: { step: number, historyDigest: string }
 }
 
@@ -188,22 +200,24 @@
   detail: string
   programId: string
   step: number
-  /** Digest of the history if the caller goes on with the step recorded as unknown. */
+  /** Digest of the history with the step recorded as unknown, for a caller that goes on. */
   historyDigest?: string
   retryAfterMs?: number
 }
 
-/** Not run: the home lacks the program's history and asks the caller for its copy. */
+/** The request was not run, because the owner lacks the program's history. The caller is asked to send its copy. */
 export interface HistoryNeeded {
   type: 'historyNeeded'
   programId: string
-  /** Last step that the home knows. */
+  /** Last step in the owner's history; 0 when it has none. */
   knownStep: number
 }
 
+/** A part of the text of a streamed step. */
 export interface Chunk { type: 'chunk', text: string, tokens: number }
 export interface Closed { type: 'closed', programId: string }
 export interface Cancelled { type: 'cancelled', programId: string, step: number }
+/** State of a program, for its caller. */
 export interface ProgramView {
   type: 'programView'
   programId: string
@@ -218,21 +232,27 @@
   home: NodeRef
   history?: Turn[]
 }
+/** Nodes to which a caller may send requests, the preferred ones first. */
 export interface AddressList {
   type: 'addressList'
   addresses: Array<{ address: string, node: string, zone: string }>
+  /** Time for which the caller may use the list, in milliseconds. */
   validForMs: number
 }
+/** A change or promotion was accepted as `revision`, at `offset` of the control stream. */
 export interface Accepted { type: 'accepted', environment: string, revision: number, offset: number }
+/** A request of an operator was refused, or a request of an unknown type. */
 export interface Refused { type: 'refused', reason: Reason, detail: string, currentRevision?: number }
+/** The configurations as one node has read them. */
 export interface ConfigurationView {
   type: 'configurationView'
   node: string
   environments: Array<{ environment: string, revision: number, offset: number, document?: ConfigurationDocument }>
-  /** Revision in force at each node that this one hears of, by node name. */
+  /** Last reported revision of each known node, the answering one first. */
   nodes: Array<{ node: string, revision: number, environment: string }>
 }
 export interface AuditView { type: 'auditView', entries: AuditEntry[] }
+/** The programs that one node holds, closed ones included until they are removed. */
 export interface ProgramList {
   type: 'programList'
   node: string
--- a/packages/core/src/common/kernel/callerPort.ts
+++ b/packages/core/src/common/kernel/callerPort.ts
@@ -1,21 +1,21 @@
-/** Requests of callers and the replies to them. */
+/** Port for the requests of callers, their replies and their forwarding to other nodes. */
 import { inject, injectable } from 'tsyringe'
 import { type CallerReply, type CallerRequest, Reason } from './callerMessages.js'
 import { IEffects } from './effectQueue.js'
 import type { NodeRef } from './node.js'
 
-/** A request that waits for its reply. Every request gets exactly one final reply. */
+/** A request that waits for its reply. Every request gets exactly one final reply, unless its caller disconnects before. */
 export interface CallerExchange<T extends CallerRequest = CallerRequest> {
   readonly requestId: string
   readonly request: T
-  /** How many nodes have forwarded the request already. */
+  /** Number of nodes that have forwarded the request. */
   readonly hops: number
 }
 
 export type CallerRequestOf<K extends CallerRequest['type']> = Extract<CallerRequest, { type: K }>
 type Handler = (exchange: CallerExchange) => void
 
-/** What becomes of a forwarded request that did not come back with a reply. */
+/** A forward that ended without a reply. `wasSent` is false only when no byte reached the other node. */
 export interface ForwardFailure { wasSent: boolean }
 
 interface OpenForward {
@@ -23,21 +23,21 @@
   onFailure: (failure: ForwardFailure) => void
 }
 
-/** Gives plug-ins the requests they handle and carries their replies. */
+/** Passes requests to the plug-ins that handle them and sends their replies. */
 export interface ICallers {
-  /** Sets the handler of one type of request. */
+  /** Sets the handler of one type of request, in place of a previous one. */
   handle<K extends CallerRequest['type']> (type: K, handler: (exchange: CallerExchange<CallerRequestOf<K>>) => void): void
-  /** Sends a reply; a `chunk` leaves the exchange open, anything else ends it. */
+  /** Sends a reply. A `chunk` leaves the exchange open; any other reply ends it. Has no effect on an ended exchange. */
   reply (requestId: string, reply: CallerReply): void
-  /** Hands the request to another node, which answers in this node's place. */
+  /** Forwards the request to another node and passes that node's replies on. */
   forward (exchange: CallerExchange, to: NodeRef, onFailure: (failure: ForwardFailure) => void): void
-  /** Gives up every forward to a node; their failure listeners are told that the request was sent. */
+  /** Cancels every forward to a node and reports each as failed with `wasSent: true`, because the node may have received it. */
   abandonForwards (node: string): void
-  /** Handles a request again, after its program has moved. */
+  /** Passes an open request to its handler again, after its program has moved. */
   dispatchAgain (exchange: CallerExchange): void
-  /** Requests that have no final reply yet. */
+  /** Number of requests that have no final reply yet. */
   readonly openCount: number
-  /** Calls `listener` if the caller leaves before the final reply. */
+  /** Calls `listener` if the caller disconnects before the final reply. A second listener replaces the first. */
   onGone (requestId: string, listener: () => void): void
 }
 export const ICallers = Symbol('ICallers')
@@ -45,14 +45,14 @@
 @injectable()
 export class CallerPort implements ICallers {
   private readonly _handlers = new Map<string, Handler>()
-  private readonly _open = new Map<string, CallerExchange>()
+  private readonly _openExchanges = new Map<string, CallerExchange>()
   private readonly _forwards = new Map<string, OpenForward>()
-  private readonly _goneListeners = new Map<string, () => void>()
+  private readonly _disconnectListeners = new Map<string, () => void>()
 
   constructor (@inject(IEffects) private readonly _effects: IEffects) {}
 
   get openCount (): number {
-    return this._open.size
+    return this._openExchanges.size
   }
 
   handle<K extends CallerRequest['type']> (type: K, handler: (exchange: CallerExchange<CallerRequestOf<K>>) => void): void {
@@ -60,13 +60,13 @@
   }
 
   reply (requestId: string, reply: CallerReply): void {
-    if (!this._open.has(requestId)) return
+    if (!this._openExchanges.has(requestId)) return
     this._effects.emit({ type: 'reply', requestId, reply })
-    if (reply.type !== 'chunk') this._forget(requestId)
+    if (reply.type !== 'chunk') this._removeExchange(requestId)
   }
 
   forward (exchange: CallerExchange, to: NodeRef, onFailure: (failure: ForwardFailure) => void): void {
-    if (!this._open.has(exchange.requestId)) return
+    if (!this._openExchanges.has(exchange.requestId)) return
     this._forwards.set(exchange.requestId, { node: to.node, onFailure })
     const { requestId, request, hops } = exchange
     this._effects.emit({ type: 'forward', requestId, to, request, hops: hops + 1 })
@@ -81,25 +81,27 @@
   }
 
   dispatchAgain (exchange: CallerExchange): void {
-    if (this._open.has(exchange.requestId)) this._handlers.get(exchange.request.type)?.(exchange)
+    if (this._openExchanges.has(exchange.requestId)) this._handlers.get(exchange.request.type)?.(exchange)
   }
 
   onGone (requestId: string, listener: () => void): void {
-    this._goneListeners.set(requestId, listener)
+    this._disconnectListeners.set(requestId, listener)
   }
 
+  /** Starts an exchange for a request that the host reports. */
   handleRequest (exchange: CallerExchange): void {
-    this._open.set(exchange.requestId, exchange)
+    this._openExchanges.set(exchange.requestId, exchange)
     const handler = this._handlers.get(exchange.request.type)
-    // A node of another version may forward a request that this one does not know.
-    if (handler === undefined) this.reply(exchange.requestId, { type: 'refused', reason: Reason.Invalid, detail: `this node does not know requests of type ${exchange.request.type}` })
+    // A node of another version may forward a request of a type that this version lacks.
+    if (handler === undefined) this.reply(exchange.requestId, { type: 'refused', reason: Reason.Invalid, detail: `this node does not support requests of type ${exchange.request.type}` })
     else handler(exchange)
   }
 
-  handleGone (requestId: string): void {
-    if (!this._open.has(requestId)) return
-    const listener = this._goneListeners.get(requestId)
-    this._forget(requestId)
+  /** Ends an exchange without a reply. */
+  handleCallerDisconnected (requestId: string): void {
+    if (!this._openExchanges.has(requestId)) return
+    const listener = this._disconnectListeners.get(requestId)
+    this._removeExchange(requestId)
     listener?.()
   }
 
@@ -111,12 +113,12 @@
   handleForwardFailed (requestId: string, failure: ForwardFailure): void {
     const forward = this._forwards.get(requestId)
     this._forwards.delete(requestId)
-    if (this._open.has(requestId)) forward?.onFailure(failure)
+    if (this._openExchanges.has(requestId)) forward?.onFailure(failure)
   }
 
-  private _forget (requestId: string): void {
-    this._open.delete(requestId)
+  private _removeExchange (requestId: string): void {
+    this._openExchanges.delete(requestId)
     this._forwards.delete(requestId)
-    this._goneListeners.delete(requestId)
+    this._disconnectListeners.delete(requestId)
   }
 }
--- a/packages/core/src/common/kernel/container.ts
+++ b/packages/core/src/common/kernel/container.ts
@@ -1,15 +1,17 @@
-/** Containers with the services of some plug-ins, for hosts that don't run a whole kernel. */
+/** Containers with the services of some plug-ins, for hosts that do not run a whole kernel. */
 import { container as rootContainer, type DependencyContainer } from 'tsyringe'
 import { registeredPlugins } from './plugin.js'
 import { IRandom, SeededRandom } from './random.js'
 
 export interface ContainerOptions {
   seed: number
-  /** Names of the plug-ins whose services are wanted. */
+  /** Names of the plug-ins whose services are registered. */
   plugins: readonly string[]
 }
 
 /**
+ * Creates a container with a seeded `IRandom` and the services of the named plug-ins. Unknown names are ignored.
+ *
  * @example
  * const container = createContainer({ seed: 1, plugins: ['routing', 'workers'] })
  * container.resolve<IRouteTable>(IRouteTable)
--- a/packages/core/src/common/kernel/effectQueue.ts
+++ b/packages/core/src/common/kernel/effectQueue.ts
@@ -1,11 +1,11 @@
-/** Collects the effects of the event that is being handled. */
+/** Queue of the effects of the event that is being handled, and the logger that writes to it. */
 import { type Effect, type LogFields, LogLevel } from './effects.js'
 
-/** Where plug-ins put what the host shall do. */
+/** Receives the effects that plug-ins request from the host. */
 export interface IEffects {
-  /** Queues an effect; the host carries effects out in this order. */
+  /** Queues an effect. The host performs effects in the order of the queue. */
   emit (effect: Effect): void
-  /** A number that is unique within the node's run, for timers, calls and operations. */
+  /** Returns a number that is unique within the node's run, for timers, calls and log operations. */
   nextId (): number
 }
 export const IEffects = Symbol('IEffects')
@@ -30,7 +30,7 @@
   }
 }
 
-/** Writes one line of key=value pairs for an event. */
+/** Writes one log line with the name of an event and its fields. */
 export interface ILogger {
   info (event: string, fields?: LogFields): void
   warn (event: string, fields?: LogFields): void
--- a/packages/core/src/common/kernel/effects.ts
+++ b/packages/core/src/common/kernel/effects.ts
@@ -1,20 +1,20 @@
-/** Everything the kernel asks of its host. */
+/** Effects, which the kernel requests from its host, and the requests that are sent to back ends. */
 import type { CallerReply, CallerRequest, ChatMessage } from './callerMessages.js'
 import type { PeerEnvelope } from '../peers/peerMessages.js'
 import type { LogRecord } from './logRecords.js'
 import type { NodeRef } from './node.js'
 
-/** A model call as an engine gets it: the whole conversation. */
+/** A model call in the form that an engine gets, with the whole conversation. */
 export interface EngineRequest {
   type: 'model'
   model: string
   messages: ChatMessage[]
   maxTokens: number
-  /** Larger numbers are served first. */
+  /** The engine serves larger numbers first. */
   priority: number
   /** Key of the cache that the engine keeps for the program. */
   session: string
-  /** How long the cache should survive after the call, in milliseconds. */
+  /** Time for which the engine should keep the cache after the call, in milliseconds. */
   retainMs: number
 }
 
@@ -22,19 +22,21 @@
   type: 'service'
   path: string
   body: unknown
-  /** Sent to back ends that honour it. */
+  /** Present for back ends that check idempotency keys. */
   idempotencyKey?: string
 }
 
-/** Asks a service that keeps idempotency keys what became of a call. */
+/** Looks up the outcome of a call at a service that stores idempotency keys. */
 export interface ServiceLookup { type: 'lookup', idempotencyKey: string }
+/** Reads the load report of an engine. */
 export interface StatusRequest { type: 'status' }
-/** Reads what an engine published about its cache; events come late and some are missing. */
+/** Reads the cache events of an engine from a sequence number on. Events arrive late and some are missing. */
 export interface CacheEventsRequest { type: 'cacheEvents', fromSequence: number }
+/** Deletes the cache of a program from an engine. */
 export interface ReleaseRequest { type: 'release', session: string }
-/** Moves the cache of a program between two engines. */
+/** Makes an engine copy the cache of a program from the engine at `fromAddress`. */
 export interface TransferRequest { type: 'transfer', session: string, fromAddress: string }
-/** Orders an engine to load a model; engines that check refuse a fencing number below one they have seen. */
+/** Orders an engine to load a model. An engine that checks fencing numbers refuses one below the highest that it has received. */
 export interface LoadOrder { type: 'load', model: string, fencingNumber: number }
 
 export type BackendRequest = EngineRequest | ServiceRequest | ServiceLookup | StatusRequest | CacheEventsRequest | ReleaseRequest | TransferRequest | LoadOrder
@@ -42,9 +44,10 @@
 export const LogLevel = { Info: 'info', Warn: 'warn', Error: 'error' } as const
 export type LogLevel = typeof LogLevel[keyof typeof LogLevel]
 
-/** Values of one structured log line. */
+/** Fields of one structured log line. */
 export type LogFields = Record<string, string | number | boolean | undefined>
 
+/** An operation that the host performs for the kernel. */
 export type Effect =
   | { type: 'setTimer', timerId: number, delayMs: number }
   | { type: 'cancelTimer', timerId: number }
--- a/packages/core/src/common/kernel/emitter.ts
+++ b/packages/core/src/common/kernel/emitter.ts
@@ -1,7 +1,7 @@
 /** Typed events between the plug-ins of one node. */
 import { type IDisposable, toDisposable } from './lifecycle.js'
 
-/** Subscribes a listener; disposing the result removes it. */
+/** Adds a listener; disposing the result removes it. */
 export type Event<T> = (listener: (value: T) => void) => IDisposable
 
 /**
--- a/packages/core/src/common/kernel/kernel.ts
+++ b/packages/core/src/common/kernel/kernel.ts
@@ -1,4 +1,4 @@
-/** The kernel: takes one input event at a time and returns the effects that the host shall carry out. */
+/** The kernel, which handles one input event at a time and returns the effects that the host must perform. */
 import { container as rootContainer, type DependencyContainer } from 'tsyringe'
 import { Peers } from '../peers/peers.js'
 import { IJournal } from '../journal/journal.js'
@@ -23,20 +23,24 @@
 
 export interface KernelOptions {
   identity: NodeIdentity
+  /** Seed of the node's random numbers. */
   seed: number
   settings?: Partial<CoreSettings>
 }
 
-/** Figures of a node that hosts publish as metrics. */
+/** Figures of a node, which hosts publish as metrics. */
 export interface KernelStatus {
+  /** True when the node has a configuration and is not draining. */
   isReady: boolean
   isDraining: boolean
   programs: number
   openRequests: number
+  /** Number of steps that wait for a slot of a worker or hold one. */
   heldSlots: number
   journalBacklog: number
   journalAppends: number
   isLogHealthy: boolean
+  /** Newest known revision of the configuration; 0 before the first one. */
   revision: number
   liveNodes: number
   firstAttempts: number
@@ -44,7 +48,7 @@
 }
 
 /**
- * One node's decisions without any input or output of its own.
+ * The decisions of one node, without input or output of its own.
  *
  * @example
  * const kernel = new Kernel({ identity, seed: 1 })
@@ -85,14 +89,14 @@
     }
   }
 
-  /** Takes one event in. Calls must not overlap; the effects are to be carried out in order. */
+  /** Handles one event. Calls must not overlap, and the host must perform the returned effects in their order. */
   handle (event: InputEvent, nowMs: number): Effect[] {
     this._clock.advanceTo(nowMs)
-    this._route(event)
+    this._dispatchEvent(event)
     return this._effects.drain()
   }
 
-  /** Figures for metrics and readiness. */
+  /** Returns the figures for metrics and readiness. */
   status (): KernelStatus {
     const journal = this._container.resolve<IJournal>(IJournal)
     const configuration = this._container.resolve<IConfiguration>(IConfiguration)
@@ -114,12 +118,12 @@
     }
   }
 
-  /** Where a node answers its peers; undefined when it is not known. */
+  /** Address at which a node answers its peers; undefined when the node or its address is unknown. */
   findPeerAddress (node: string): string | undefined {
     return this._container.resolve<IMembership>(IMembership).findNode(node)?.peerAddress
   }
 
-  /** Gives embedders and tests a service of a plug-in by its token. */
+  /** Resolves a service of a plug-in by its token, for embedders and tests. */
   resolve<T> (token: symbol): T {
     return this._container.resolve<T>(token)
   }
@@ -128,7 +132,7 @@
     for (const plugin of this._plugins) plugin.dispose()
   }
 
-  private _route (event: InputEvent): void {
+  private _dispatchEvent (event: InputEvent): void {
     switch (event.type) {
       case 'started':
         for (const plugin of this._plugins) plugin.start?.()
@@ -139,7 +143,7 @@
       case 'peerMessage': return this._peers.handleMessage(event.envelope)
       case 'peerFailed': return this._peers.handleFailed(event.node, event.messageId)
       case 'callerRequest': return this._callers.handleRequest({ requestId: event.requestId, request: event.request, hops: event.hops })
-      case 'callerGone': return this._callers.handleGone(event.requestId)
+      case 'callerGone': return this._callers.handleCallerDisconnected(event.requestId)
       case 'forwardFailed': return this._callers.handleForwardFailed(event.requestId, { wasSent: event.wasSent })
       case 'forwardReply': return this._callers.handleForwardReply(event.requestId, event.reply)
       case 'backendEvent': return this._backends.handleEvent(event.callId, event.event)
--- a/packages/core/src/common/kernel/logPort.ts
+++ b/packages/core/src/common/kernel/logPort.ts
@@ -1,13 +1,13 @@
-/** Access to the platform's log service. */
+/** Port for the platform's log service. */
 import { inject, injectable } from 'tsyringe'
 import { IEffects } from './effectQueue.js'
 import type { AppendOutcome, LogRecord, ReadOutcome } from './logRecords.js'
 
-/** What the core needs of an append-only log with offsets. */
+/** An append-only log with offsets, as the core uses it. */
 export interface ILogService {
-  /** Appends records in one request; they get consecutive offsets if they land. */
+  /** Appends records in one request. They get consecutive offsets if they are stored. */
   append (stream: string, records: LogRecord[], onOutcome: (outcome: AppendOutcome) => void): void
-  /** Reads up to `limit` records from an offset on. A missing stream reads as empty. */
+  /** Reads up to `limit` records from an offset on. A stream that does not exist reads as empty. */
   read (stream: string, fromOffset: number, limit: number, onOutcome: (outcome: ReadOutcome) => void): void
 }
 export const ILogService = Symbol('ILogService')
--- a/packages/core/src/common/kernel/node.ts
+++ b/packages/core/src/common/kernel/node.ts
@@ -1,39 +1,42 @@
-/** Names and addresses of the machines that the core deals with. */
+/** Names and addresses of the VMs that the core uses. */
 
 /** One run of the daemon on one entry VM. */
 export interface NodeRef {
   /** Name of the entry VM, for example `regina-2`. */
   node: string
-  /** Differs for each start of the daemon on that VM. */
+  /** Different for each start of the daemon on that VM. */
   incarnation: string
   /** `host:port` of the caller API. */
   address: string
 }
 
+/** What runs on a VM: a node (entry), a model engine or a service. */
 export const VmRole = { Entry: 'entry', Engine: 'engine', Service: 'service' } as const
 export type VmRole = typeof VmRole[keyof typeof VmRole]
 
 export const VmState = { Live: 'live', Leaving: 'leaving' } as const
 export type VmState = typeof VmState[keyof typeof VmState]
 
-/** One line of the platform's VM list. */
+/** One entry of the platform's VM list. */
 export interface VmEntry {
   name: string
   role: VmRole
   zone: string
   /** `host:port` of the caller API, engine or service. */
   address: string
-  /** `host:port` where an entry VM answers its peers. */
+  /** `host:port` at which an entry VM answers its peers; absent for other VMs. */
   peerAddress?: string
-  /** Name of the back end, as configuration documents name it; absent for entry VMs. */
+  /** Name of the back end or of the pool in configuration documents; absent for entry VMs. */
   backend?: string
   state: VmState
 }
 
-/** What a node knows of itself from its settings. */
+/** Identity of this node, from its settings. */
 export interface NodeIdentity extends NodeRef {
+  /** `host:port` at which the node answers its peers. */
   peerAddress: string
   zone: string
+  /** Environment whose configuration document applies to the node. */
   environment: string
 }
 export const NodeIdentity = Symbol('NodeIdentity')
--- a/packages/core/src/common/kernel/random.ts
+++ b/packages/core/src/common/kernel/random.ts
@@ -1,21 +1,21 @@
-/** Seeded pseudo-random numbers, so that a run can be repeated from its seed. */
+/** Seeded pseudo-random numbers, with which a run can be repeated. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { hash32 } from '../base/rendezvous.js'
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator'
 
-/** Values dropped at the start: the first ones of similar seeds are similar. */
+/** Values that are discarded at the start, because the first values of similar seeds are similar. */
 const WARM_UP_VALUES = 16
 const UINT32_RANGE = 0x1_0000_0000
 
-/** A source of random decisions; never used for secrets. */
+/** A source of random numbers that are not secure; it must not be used for secrets. */
 export interface IRandom {
   /** A number in [0, 1). */
   next (): number
   /** An integer in [0, bound). */
   nextInt (bound: number): number
-  /** A sample with the given mean of the exponential distribution. */
+  /** A number from the exponential distribution with the given mean. */
   nextExponential (mean: number): number
-  /** Up to `count` distinct items in random order. */
+  /** Up to `count` items at different positions, in random order. */
   sample<T> (items: readonly T[], count: number): T[]
 }
 export const IRandom = Symbol('IRandom')
--- a/packages/core/src/common/kernel/timers.ts
+++ b/packages/core/src/common/kernel/timers.ts
@@ -1,13 +1,13 @@
-/** Timers over host effects. */
+/** Timers, which the host runs as effects. */
 import { inject, injectable } from 'tsyringe'
 import { IEffects } from './effectQueue.js'
 import { type IDisposable, toDisposable } from './lifecycle.js'
 
-/** Runs functions later. */
+/** Runs functions after a delay. */
 export interface ITimers {
-  /** Calls `action` once after `delayMs`, unless the result is disposed before. */
+  /** Calls `action` once after `delayMs`, rounded up to whole milliseconds, unless the result is disposed before. */
   after (delayMs: number, action: () => void): IDisposable
-  /** Calls `action` every `periodMs`, first after one period. */
+  /** Calls `action` every `periodMs`, first after one period, until the result is disposed. */
   every (periodMs: number, action: () => void): IDisposable
 }
 export const ITimers = Symbol('ITimers')
@@ -29,9 +29,9 @@
 
   every (periodMs: number, action: () => void): IDisposable {
     let isStopped = false
-    let current: IDisposable | undefined
+    let pendingTimer: IDisposable | undefined
     const arm = () => {
-      current = this.after(periodMs, () => {
+      pendingTimer = this.after(periodMs, () => {
         if (isStopped) return
         arm()
         action()
@@ -40,11 +40,11 @@
     arm()
     return toDisposable(() => {
       isStopped = true
-      current?.dispose()
+      pendingTimer?.dispose()
     })
   }
 
-  /** Runs the action of a timer that the host reports. */
+  /** Runs the action of a timer that the host reports as fired. */
   handleFired (timerId: number): void {
     const action = this._actions.get(timerId)
     this._actions.delete(timerId)
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** The coordination library of trefoilshunt. */
+/** The coordination library of trefoilshunt. The import of each contribution registers a plug-in. */
 import 'reflect-metadata'
 import './common/membership/membership.contribution.js'
 import './common/configuration/configuration.contribution.js'
