--- a/packages/cli/src/common/documentDiff.ts
+++ b/packages/cli/src/common/documentDiff.ts
@@ -1,13 +1,15 @@
-/** What differs between two documents, path by path. */
+/** Compares two documents and lists the differences by path. */
 
+/** A leaf that differs; `before` or `after` is undefined where the document does not have it. */
 export interface Difference {
+  /** Names from the root, joined by dots. */
   path: string
   before: unknown
   after: unknown
 }
 
 /**
- * Lists every leaf that differs; items of lists are matched by their `name` where they have one.
+ * Lists every leaf that differs; items of lists are matched by their `name`, or by their index where they have none.
  *
  * @example
  * diffDocuments({ a: 1 }, { a: 2 }) // [{ path: 'a', before: 1, after: 2 }]
--- a/packages/cli/src/common/planFile.ts
+++ b/packages/cli/src/common/planFile.ts
@@ -1,4 +1,4 @@
-/** The file format of sample programs. */
+/** The file format of the sample programs. */
 import { z } from 'zod'
 import type { PlanStep, ProgramPlan } from '@trefoilshunt/testing'
 
@@ -9,6 +9,7 @@
   z.strictObject({ type: z.literal('children'), plans: z.array(z.array(planStepSchema)).min(1) })
 ]))
 
+/** Schema of a sample program; a field that is not listed is an error. */
 export const programPlanSchema: z.ZodType<ProgramPlan> = z.strictObject({
   kind: z.string(),
   customer: z.string(),
--- a/packages/cli/src/common/runSummary.ts
+++ b/packages/cli/src/common/runSummary.ts
@@ -1,15 +1,18 @@
-/** Sums up a run: programs by rank, latencies, tool calls, cache. */
+/** Summarizes a run: programs and latencies by rank, non-repeatable calls, and cache hits. */
 import hdr from 'hdr-histogram-js'
 import type { ModelEngine, ToolDatabase } from '@trefoilshunt/standins'
 import type { ProgramObservation, RunRecord } from '@trefoilshunt/testing'
 import { formatTable } from './table.js'
 
+/** Longest latency that the histogram can hold. */
 const HIGHEST_MS = 3_600_000
 
+/** Programs of one rank; the percentiles are latencies of the finished ones. */
 export interface RankSummary {
   rank: string
   programs: number
   finished: number
+  /** Finished within the target latency of their kind. */
   withinTarget: number
   refused: number
   p50Ms: number
@@ -17,17 +20,23 @@
   p99Ms: number
 }
 
+/** Figures of one run. */
 export interface RunSummary {
   ranks: RankSummary[]
   nonRepeatableRequested: number
+  /** Non-repeatable calls that the service executed at least once. */
   nonRepeatableRun: number
+  /** Non-repeatable calls that the service executed more than once. */
   runTwice: number
+  /** Non-repeatable calls whose outcome was reported as unknown. */
   unknown: number
+  /** Share of the prompt tokens that came from the cache, 0 to 1. */
   cacheHitShare: number
+  /** The figures as text. */
   table: string
 }
 
-/** Computes the figures and lays them out. */
+/** Computes the figures and formats them as text. */
 export function summarizeRun (record: RunRecord, databases: ToolDatabase[], engines: ModelEngine[]): RunSummary {
   const ranks = ['urgent', 'other'].map(rank => summarizeRank(rank, record.programs.filter(program => program.rank === rank)))
   const nonRepeatable = record.steps.filter(step => !step.isRepeatable)
@@ -42,7 +51,7 @@
     unknown: nonRepeatable.filter(step => step.result?.type === 'unknown' || step.error?.type === 'unknown').length,
     cacheHitShare: cached / Math.max(1, cached + computed)
   }
-  return { ...summary, table: layOut(summary) }
+  return { ...summary, table: formatSummary(summary) }
 }
 
 function summarizeRank (rank: string, programs: ProgramObservation[]): RankSummary {
@@ -65,7 +74,7 @@
   return (program.endedAtMs ?? Infinity) - program.arrivedAtMs
 }
 
-function layOut (summary: Omit<RunSummary, 'table'>): string {
+function formatSummary (summary: Omit<RunSummary, 'table'>): string {
   const headings = ['rank', 'programs', 'finished', 'within target', 'refused', 'p50 ms', 'p95 ms', 'p99 ms']
   const rows = summary.ranks.map(rank => [rank.rank, rank.programs, rank.finished, rank.withinTarget, rank.refused, rank.p50Ms, rank.p95Ms, rank.p99Ms])
   return [
--- a/packages/cli/src/common/svg.ts
+++ b/packages/cli/src/common/svg.ts
@@ -1,5 +1,6 @@
-/** Small line plots as SVG text. */
+/** Renders small line plots as SVG text. */
 
+/** A line of a plot with the label of its legend entry. */
 export interface PlotLine {
   label: string
   points: Array<{ x: number, y: number }>
@@ -11,7 +12,7 @@
 const COLORS = ['#1b6ca8', '#c0392b', '#27ae60', '#8e44ad', '#d68910', '#555555']
 const TICKS = 5
 
-/** Draws lines over common axes. */
+/** Draws lines over common axes that begin at 0; the coordinates must not be negative. */
 export function renderPlot (title: string, xLabel: string, yLabel: string, lines: PlotLine[]): string {
   const points = lines.flatMap(line => line.points)
   const maxX = Math.max(1e-9, ...points.map(point => point.x))
@@ -34,6 +35,7 @@
     `<text x="12" y="${HEIGHT / 2}" transform="rotate(-90 12 ${HEIGHT / 2})" text-anchor="middle">${escapeXml(yLabel)}</text></svg>`
 }
 
+/** Escapes a text for element content and for attributes in double quotes. */
 export function escapeXml (text: string): string {
   return text.replace(/[<>&"]/g, character => ({ '<': '&lt;', '>': '&gt;', '&': '&amp;', '"': '&quot;' })[character] as string)
 }
--- a/packages/cli/src/common/table.ts
+++ b/packages/cli/src/common/table.ts
@@ -1,16 +1,17 @@
-/** Plain-text tables for the terminal. */
+/** Formats plain-text tables for the terminal. */
 
+/** A value of a table; undefined is shown as `-`. */
 export type Cell = string | number | undefined
 
-/** Lays out rows under their headings; numbers are aligned right. */
+/** Formats rows under their headings; columns that hold only numbers are aligned right. */
 export function formatTable (headings: string[], rows: Cell[][]): string {
   const texts = rows.map(row => row.map(formatCell))
   const widths = headings.map((heading, column) => Math.max(heading.length, ...texts.map(row => (row[column] ?? '').length)))
-  const isNumeric = headings.map((_heading, column) => rows.every(row => typeof row[column] === 'number' || row[column] === undefined))
-  const layOut = (cells: string[]) => cells
-    .map((cell, column) => isNumeric[column] ? cell.padStart(widths[column]) : cell.padEnd(widths[column]))
+  const isNumericColumn = headings.map((_heading, column) => rows.every(row => typeof row[column] === 'number' || row[column] === undefined))
+  const formatRow = (cells: string[]) => cells
+    .map((cell, column) => isNumericColumn[column] ? cell.padStart(widths[column]) : cell.padEnd(widths[column]))
     .join('  ').trimEnd()
-  return [layOut(headings), widths.map(width => '-'.repeat(width)).join('  '), ...texts.map(layOut)].join('\n')
+  return [formatRow(headings), widths.map(width => '-'.repeat(width)).join('  '), ...texts.map(formatRow)].join('\n')
 }
 
 function formatCell (cell: Cell): string {
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
-/** The command line. */
+/** The `trefoilshunt` command line. */
 export { main } from './node/main.js'
--- a/packages/cli/src/node/configCommands.ts
+++ b/packages/cli/src/node/configCommands.ts
@@ -1,15 +1,16 @@
-/** `trefoilshunt config …` and `trefoilshunt audit`: what operators do. */
+/** The operators' commands: `trefoilshunt config …`, `trefoilshunt audit` and `trefoilshunt programs`. */
 import type { CallerReply, ConfigurationDocument } from '@trefoilshunt/core'
 import { diffDocuments } from '../common/documentDiff.js'
 import { ExitCode } from '../common/exitCodes.js'
 import { formatTable } from '../common/table.js'
 import { readDocument } from './files.js'
-import { ask, type ConnectionOptions } from './operatorClient.js'
+import { sendOperatorRequest, type ConnectionOptions } from './operatorClient.js'
 import { type OutputOptions, printError, printResult } from './output.js'
 
+/** Options of the commands that send requests to nodes. */
 export type RemoteOptions = ConnectionOptions & OutputOptions
 
-/** Checks a document without any node. */
+/** Checks a document without contacting a node. */
 export function runValidate (options: OutputOptions & { file: string }): void {
   readDocument(options.file).caseOf({
     Left: problems => printResult(options, { isValid: false, problems }, () => problems.join('\n'), ExitCode.Usage),
@@ -17,11 +18,11 @@
   })
 }
 
-/** Shows what a document would change. */
+/** Shows the differences between a document and the current one of an environment. */
 export async function runDiff (options: RemoteOptions & { file: string, environment: string }): Promise<void> {
   const document = readDocument(options.file)
   if (document.isLeft()) return printError((document.extract() as string[]).join('\n'), ExitCode.Usage)
-  const current = await readCurrent(options, options.environment)
+  const current = await readCurrentConfiguration(options, options.environment)
   if (current === undefined) return
   const differences = diffDocuments(current.document, document.extract())
   const lines = () => differences.length === 0
@@ -30,42 +31,42 @@
   printResult(options, { revision: current.revision, differences }, lines)
 }
 
-/** Puts a document in force in an environment. */
+/** Makes a document the active configuration of an environment. Without `base`, the change is based on the current revision. */
 export async function runApply (options: RemoteOptions & { file: string, environment: string, base?: number }): Promise<void> {
   const document = readDocument(options.file)
   if (document.isLeft()) return printError((document.extract() as string[]).join('\n'), ExitCode.Usage)
-  const baseRevision = options.base ?? (await readCurrent(options, options.environment))?.revision
+  const baseRevision = options.base ?? (await readCurrentConfiguration(options, options.environment))?.revision
   if (baseRevision === undefined) return
-  const reply = await ask(options, { type: 'apply', environment: options.environment, baseRevision, document: document.extract(), by: '' })
+  const reply = await sendOperatorRequest(options, { type: 'apply', environment: options.environment, baseRevision, document: document.extract(), by: '' })
   reply.caseOf({ Left: problem => printError(problem), Right: answer => printChange(options, answer) })
 }
 
-/** Puts a revision of one environment in force in another. */
+/** Makes a revision of one environment the active configuration of another. Without `base`, the change is based on the current revision there. */
 export async function runPromote (options: RemoteOptions & { from: string, to: string, revision: number, base?: number }): Promise<void> {
-  const baseRevision = options.base ?? (await readCurrent(options, options.to))?.revision
+  const baseRevision = options.base ?? (await readCurrentConfiguration(options, options.to))?.revision
   if (baseRevision === undefined) return
-  const reply = await ask(options, { type: 'promote', from: options.from, to: options.to, revision: options.revision, baseRevision, by: '' })
+  const reply = await sendOperatorRequest(options, { type: 'promote', from: options.from, to: options.to, revision: options.revision, baseRevision, by: '' })
   reply.caseOf({ Left: problem => printError(problem), Right: answer => printChange(options, answer) })
 }
 
-/** Shows the revisions in force, at each node. */
+/** Shows the active revision of each environment and node. Fails when the nodes do not all have the same revision. */
 export async function runStatus (options: RemoteOptions): Promise<void> {
-  const reply = await ask(options, { type: 'configuration' })
+  const reply = await sendOperatorRequest(options, { type: 'configuration' })
   reply.caseOf({
     Left: problem => printError(problem),
     Right: view => {
       if (view.type !== 'configurationView') return printUnexpected(view)
       const environments = formatTable(['environment', 'revision', 'log offset'], view.environments.map(state => [state.environment, state.revision, state.offset]))
-      const nodes = formatTable(['node', 'environment', 'revision in force'], view.nodes.map(node => [node.node, node.environment, node.revision]))
-      const isEverywhere = new Set(view.nodes.map(node => node.revision)).size <= 1
-      printResult(options, view, () => `${environments}\n\n${nodes}`, isEverywhere ? ExitCode.Ok : ExitCode.Failed)
+      const nodes = formatTable(['node', 'environment', 'active revision'], view.nodes.map(node => [node.node, node.environment, node.revision]))
+      const isSameEverywhere = new Set(view.nodes.map(node => node.revision)).size <= 1
+      printResult(options, view, () => `${environments}\n\n${nodes}`, isSameEverywhere ? ExitCode.Ok : ExitCode.Failed)
     }
   })
 }
 
 /** Shows the audit trail; `config history` shows its configuration changes only. */
 export async function runAudit (options: RemoteOptions & { limit: number, onlyConfiguration: boolean }): Promise<void> {
-  const reply = await ask(options, { type: 'audit', limit: options.limit })
+  const reply = await sendOperatorRequest(options, { type: 'audit', limit: options.limit })
   reply.caseOf({
     Left: problem => printError(problem),
     Right: view => {
@@ -77,11 +78,11 @@
   })
 }
 
-/** Lists the programs whose home is the asked node. */
+/** Lists the programs that each given node owns. */
 export async function runPrograms (options: RemoteOptions): Promise<void> {
   const replies = []
   for (const address of options.address) {
-    const reply = await ask({ ...options, address: [address] }, { type: 'programs' })
+    const reply = await sendOperatorRequest({ ...options, address: [address] }, { type: 'programs' })
     if (reply.isLeft()) return printError(reply.extract() as string)
     replies.push(reply.extract() as CallerReply)
   }
@@ -89,8 +90,9 @@
   printResult(options, replies, () => formatTable(['node', 'program', 'customer', 'kind', 'rank', 'next step', 'idle ms'], rows))
 }
 
-async function readCurrent (options: RemoteOptions, environment: string): Promise<{ revision: number, document?: ConfigurationDocument } | undefined> {
-  const reply = await ask(options, { type: 'configuration', environment })
+/** The current revision of an environment, 0 before the first document; undefined after a failure, which has been printed. */
+async function readCurrentConfiguration (options: RemoteOptions, environment: string): Promise<{ revision: number, document?: ConfigurationDocument } | undefined> {
+  const reply = await sendOperatorRequest(options, { type: 'configuration', environment })
   if (reply.isLeft()) {
     printError(reply.extract() as string)
     return undefined
--- a/packages/cli/src/node/experimentCommands.ts
+++ b/packages/cli/src/node/experimentCommands.ts
@@ -1,4 +1,4 @@
-/** `trefoilshunt experiment …` and `trefoilshunt scenario …`: measurements and proofs in virtual time. */
+/** `trefoilshunt experiment run`, `trefoilshunt experiment search` and `trefoilshunt scenario`, all in virtual time. */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { BASELINES, EXPERIMENTS, type ExperimentResult, type ExperimentSpec, runExperiment, runScenario, type Scenario, scenarioSchema, searchSchedules } from '@trefoilshunt/testing'
@@ -9,32 +9,38 @@
 import { readJsonc } from './files.js'
 import { type OutputOptions, printError, printResult } from './output.js'
 
+/** Options of `trefoilshunt experiment run`. */
 export interface ExperimentOptions extends OutputOptions {
+  /** Name of an experiment, or `all` for every experiment that is not large. */
   name: string
+  /** The first seed. */
   seed: number
+  /** Number of consecutive seeds to run. */
   seeds: number
+  /** Runs the baseline policies too. */
   baseline: boolean
+  /** Folder for HTML and JSON reports; none are written without it. */
   report?: string
 }
 
-/** Runs one experiment or all of them and holds the figures against the bounds. */
+/** Runs one experiment or all that are not large, compares the figures with the bounds and fails when a bound is missed. */
 export async function runExperiments (options: ExperimentOptions): Promise<void> {
   const specs = options.name === 'all' ? EXPERIMENTS.filter(spec => spec.isLarge !== true) : EXPERIMENTS.filter(spec => spec.name === options.name)
   if (specs.length === 0) return printError(`no experiment "${options.name}"; there are: ${EXPERIMENTS.map(spec => spec.name).join(', ')}, all`, ExitCode.Usage)
   const summaries = []
-  let missed = 0
+  let missedBounds = 0
   for (const spec of specs) {
     const results: ExperimentResult[] = []
     for (let index = 0; index < options.seeds; index++) {
       results.push(await runExperiment({ spec, seed: options.seed + index, baselines: options.baseline ? BASELINES : [] }))
     }
-    missed += results.flatMap(result => result.bounds).filter(bound => !bound.isMet).length
+    missedBounds += results.flatMap(result => result.bounds).filter(bound => !bound.isMet).length
     summaries.push(summarize(spec, results))
     if (!options.json) process.stdout.write(`${formatExperiment(spec, results)}\n\n`)
     if (options.report !== undefined) writeReport(options.report, spec, results)
   }
-  const exitCode = missed === 0 ? ExitCode.Ok : ExitCode.Failed
-  printResult(options, summaries, () => `${specs.length} experiments, ${missed} bounds missed`, exitCode)
+  const exitCode = missedBounds === 0 ? ExitCode.Ok : ExitCode.Failed
+  printResult(options, summaries, () => `${specs.length} experiments, ${missedBounds} bounds missed`, exitCode)
 }
 
 function summarize (spec: ExperimentSpec, results: ExperimentResult[]): unknown {
@@ -69,7 +75,7 @@
   writeFileSync(join(folder, `${spec.name}.json`), `${JSON.stringify(summarize(spec, results), null, 2)}\n`)
 }
 
-/** Searches for fault schedules that break a promise. */
+/** Searches for fault schedules that break an invariant; fails when it finds one. */
 export async function runSearch (options: OutputOptions & { runs: number, seed: number }): Promise<void> {
   const result = await searchSchedules({ runs: options.runs, seed: options.seed })
   const { totals, counterexample } = result
@@ -77,12 +83,12 @@
   const text = () => [
     `seed ${result.seed}: ${result.runs} schedules, ${totals.faults} faults, ${totals.programs} programs, ${totals.steps} steps checked`,
     `non-repeatable steps ${totals.nonRepeatableSteps}, of them unknown ${totals.unknownSteps} (${(unknownShare * 100).toFixed(2)} %)`,
-    counterexample === undefined ? 'no promise was broken' : `BROKEN by\n${JSON.stringify(counterexample, null, 2)}`
+    counterexample === undefined ? 'no invariant was broken' : `BROKEN by\n${JSON.stringify(counterexample, null, 2)}`
   ].join('\n')
   printResult(options, result, text, counterexample === undefined ? ExitCode.Ok : ExitCode.Failed)
 }
 
-/** Runs scenario files. */
+/** Runs scenario files in order; fails when an invariant is broken in any of them. */
 export async function runScenarios (options: OutputOptions & { files: string[] }): Promise<void> {
   const outcomes = []
   for (const file of options.files) {
--- a/packages/cli/src/node/localFleet.ts
+++ b/packages/cli/src/node/localFleet.ts
@@ -1,4 +1,4 @@
-/** Stand-ins and real nodes on loopback sockets in one process. */
+/** A fleet of real nodes with stand-ins for the platform and the back ends, on loopback sockets in one process. */
 import { createHash } from 'node:crypto'
 import { type ConfigurationDocument, type CoreSettings, VmRole, VmState } from '@trefoilshunt/core'
 import { HttpTransport, type ICallerTransport, realClientHost } from '@trefoilshunt/client'
@@ -10,32 +10,41 @@
 const OPERATOR_KEY = 'loopback-operator'
 const READY_TIMEOUT_MS = 15_000
 const APPLY_TIMEOUT_MS = 15_000
-const POLL_MS = 50
+const READY_POLL_MS = 50
 
+/** Size and configuration of a local fleet. */
 export interface LocalFleetOptions {
   zones: string[]
   nodesPerZone: number
+  /** Applied to the environment `production` when the fleet starts. */
   document: ConfigurationDocument
   /** Workers of each back end, by its name. */
   workers: Record<string, number>
+  /** Settings of the nodes' kernels that differ from the defaults. */
   core?: Partial<CoreSettings>
+  /** Receives the log events of all nodes; they are discarded without it. */
   log?: IEventLog
 }
 
-const SILENT: IEventLog = { write () {} }
+const DISCARDING_LOG: IEventLog = { write () {} }
 
-/** A small fleet for the demo, the load command and tests. */
+/** Starts and closes the fleet for the demo, the load command and tests. */
 export class LocalFleet {
   readonly platform = new PlatformServer()
   readonly engines: EngineServer[] = []
   readonly tools: ToolServer[] = []
+  /** State that the workers of a service share, by the name of the back end. */
   readonly databases = new Map<string, ToolDatabase>()
+  /** The nodes in the order of their start. */
   readonly daemons: Daemon[] = []
   private readonly _transports = new Map<string, HttpTransport>()
 
   constructor (private readonly _options: LocalFleetOptions) {}
 
-  /** Starts everything and puts the document in force. */
+  /**
+   * Starts the stand-ins and the nodes, applies the document and waits until every node is ready. Throws when the document is refused or the nodes are not
+   * ready after 15 s.
+   */
   async start (): Promise<void> {
     await this.platform.server.listen()
     await this._startBackends()
@@ -46,8 +55,9 @@
     await this._waitUntilReady()
   }
 
+  /** Starts a node and adds it to the VM list. */
   async startNode (name: string, zone: string): Promise<Daemon> {
-    const daemon = new Daemon({ settings: this._settingsOf(name, zone), peerSecret: PEER_SECRET, log: this._options.log ?? SILENT })
+    const daemon = new Daemon({ settings: this._settingsOf(name, zone), peerSecret: PEER_SECRET, log: this._options.log ?? DISCARDING_LOG })
     await daemon.start()
     this.daemons.push(daemon)
     this.platform.vmList.put({ name, role: VmRole.Entry, zone, address: daemon.address, peerAddress: daemon.peerAddress, state: VmState.Live })
@@ -55,16 +65,17 @@
     return daemon
   }
 
-  /** The fleet as callers reach it. */
+  /** What a program driver needs to run programs through this fleet. */
   get callerWorld (): ICallerWorld {
     return {
       host: realClientHost,
       zones: this._options.zones,
       seeds: () => this.daemons.map(daemon => daemon.address),
-      transportOf: customer => this.transportOf(keyOf(customer))
+      transportOf: customer => this.transportOf(bearerKeyOf(customer))
     }
   }
 
+  /** The transport that authenticates with a bearer key; each key has one, and `close` closes it. */
   transportOf (key: string): ICallerTransport {
     let transport = this._transports.get(key)
     if (transport === undefined) {
@@ -74,6 +85,7 @@
     return transport
   }
 
+  /** Closes the nodes, then the transports, then the stand-ins. */
   async close (): Promise<void> {
     await Promise.all(this.daemons.map(async daemon => await daemon.close()))
     await Promise.all([...this._transports.values()].map(async transport => await transport.close()))
@@ -91,7 +103,7 @@
       peerPort: 0,
       platform: { logServiceUrl: platformUrl, vmListUrl: platformUrl, vmListPeriodMs: 500 },
       credentials: {
-        customers: this._options.document.customers.map(customer => ({ name: customer.name, keySha256: sha256(keyOf(customer.name)) })),
+        customers: this._options.document.customers.map(customer => ({ name: customer.name, keySha256: sha256(bearerKeyOf(customer.name)) })),
         operators: [{ name: 'operator', keySha256: sha256(OPERATOR_KEY) }],
         peerSecret: PEER_SECRET
       },
@@ -131,13 +143,14 @@
     while (Date.now() < deadlineMs) {
       const states = this.daemons.map(daemon => daemon.status())
       if (states.every(status => status?.isReady === true && status.liveNodes === this.daemons.length)) return
-      await realClientHost.sleep(POLL_MS)
+      await realClientHost.sleep(READY_POLL_MS)
     }
     throw new Error('the nodes were not ready in time')
   }
 }
 
-function keyOf (customer: string): string {
+/** The key that the nodes' settings accept for a customer. */
+function bearerKeyOf (customer: string): string {
   return `loopback-${customer}`
 }
 
--- a/packages/cli/src/node/logCostCommand.ts
+++ b/packages/cli/src/node/logCostCommand.ts
@@ -1,9 +1,9 @@
-/** `trefoilshunt experiment log`: what the log costs, and what works without it. */
+/** `trefoilshunt experiment log`: latency that the log adds to steps, and the steps that run during an outage of the log. */
 import { measureClaimCost, measureOutage } from '@trefoilshunt/testing'
 import { formatTable } from '../common/table.js'
 import { type OutputOptions, printResult } from './output.js'
 
-/** Measures in virtual time and prints two tables. */
+/** Measures in virtual time and prints a table of each measurement. */
 export async function runLogCost (options: OutputOptions & { seed: number }): Promise<void> {
   const latencies = await measureClaimCost(options.seed)
   const outage = await measureOutage(options.seed)
--- a/packages/cli/src/node/operatorClient.ts
+++ b/packages/cli/src/node/operatorClient.ts
@@ -1,10 +1,11 @@
-/** Sends operators' requests to any node that answers. */
+/** Sends operators' requests to the first reachable node. */
 import { type Either, Left, Right } from 'purify-ts'
 import type { CallerReply, CallerRequest } from '@trefoilshunt/core'
 import { HttpTransport } from '@trefoilshunt/client'
 
 const TIMEOUT_MS = 15_000
 
+/** How to reach the nodes as an operator. */
 export interface ConnectionOptions {
   /** Addresses of nodes, tried in turn. */
   address: string[]
@@ -12,8 +13,11 @@
   key: string
 }
 
-/** Asks the first node that answers. */
-export async function ask (options: ConnectionOptions, request: CallerRequest): Promise<Either<string, CallerReply>> {
+/**
+ * Sends a request to the addresses in turn until a node replies; Left describes the last failure. Once a request has been sent without a reply
+ * it is not sent to another node, because the first one may have executed it.
+ */
+export async function sendOperatorRequest (options: ConnectionOptions, request: CallerRequest): Promise<Either<string, CallerReply>> {
   const transport = new HttpTransport({ key: options.key })
   try {
     let problem = 'no address given'
--- a/packages/cli/src/node/standinsCommand.ts
+++ b/packages/cli/src/node/standinsCommand.ts
@@ -1,20 +1,25 @@
-/** `trefoilshunt standins`: the platform and back ends on fixed loopback ports, for a daemon that is started by hand. */
+/** `trefoilshunt standins`: stand-ins for the platform and the back ends on loopback, for daemons that are started by hand. */
 import { type ConfigurationDocument, VmRole, VmState } from '@trefoilshunt/core'
 import { createToolDatabase, EngineServer, PlatformServer, ToolServer } from '@trefoilshunt/standins'
 import { ExitCode } from '../common/exitCodes.js'
 import { readDocument } from './files.js'
 import { printError } from './output.js'
 
+/** Options of `trefoilshunt standins`. */
 export interface StandinsOptions {
+  /** File of the document whose back ends are served. */
   document: string
+  /** Port of the log service and the VM list; workers get free ports. */
   port: number
+  /** Workers of each back end. */
   workers: number
+  /** Availability zone of the workers. */
   zone: string
   /** Entry VMs for the VM list, as NAME:ZONE:CALLERPORT:PEERPORT. */
   node: string[]
 }
 
-/** Serves until the process is told to stop. */
+/** Serves until SIGTERM or SIGINT, then ends the process. */
 export async function runStandins (options: StandinsOptions): Promise<void> {
   const document = readDocument(options.document)
   if (document.isLeft()) return printError((document.extract() as string[]).join('\n'), ExitCode.Usage)
--- a/packages/cli/src/node/traceCommand.ts
+++ b/packages/cli/src/node/traceCommand.ts
@@ -1,10 +1,11 @@
-/** `trefoilshunt trace`: why a request or a program went as it did, from the nodes' logs. */
+/** `trefoilshunt trace`: the log lines of all nodes that explain one request or program. */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { ExitCode } from '../common/exitCodes.js'
 import { formatTrace, traceLogs } from './traceLogs.js'
 import { type OutputOptions, printError, printResult } from './output.js'
 
+/** Options of `trefoilshunt trace`. */
 export interface TraceOptions extends OutputOptions {
   /** Request id or program id. */
   id: string
@@ -12,6 +13,7 @@
   files: string[]
 }
 
+/** Prints the trace; fails when no line mentions the id or a file cannot be read. */
 export async function runTrace (options: TraceOptions): Promise<void> {
   const lines: string[] = []
   const sources = options.files.length === 0 ? [process.stdin] : options.files.map(file => createReadStream(file))
@@ -24,6 +26,6 @@
     return
   }
   const trace = traceLogs(lines, options.id)
-  if (trace.length === 0) printError(`no line among ${lines.length} concerns ${options.id}`, ExitCode.Failed)
+  if (trace.length === 0) printError(`none of ${lines.length} log lines mentions ${options.id}`, ExitCode.Failed)
   else printResult(options, trace, () => formatTrace(trace))
 }
--- a/packages/cli/src/node/traceLogs.ts
+++ b/packages/cli/src/node/traceLogs.ts
@@ -1,23 +1,25 @@
-/** Puts the log lines of several nodes together into the story of one request or program. */
+/** Finds the log lines of several nodes that explain one request or program, and merges them in order of time. */
 
-/** One line of key=value pairs. */
+/** A log line of key=value pairs. */
 export interface LogLine {
   /** ISO 8601; empty when the line has none. */
   time: string
   event: string
+  /** All pairs of the line, with `time` and `event`. */
   fields: Record<string, string>
 }
 
-/** Events that change what a node believes: they explain decisions near them. */
-const BELIEF_EVENTS = new Set([
+/** Events that change a node's view of the cluster and so explain the decisions that follow them. */
+const CLUSTER_EVENTS = new Set([
   'documentInForce', 'groupJoinFailed', 'logLost', 'logRegained', 'nodeStarted', 'partitionComplete', 'partitionLost', 'partitionServing', 'partitionsAssigned',
   'peerConnected', 'peerLost', 'stopBegun', 'stopEnded', 'topicTruncated', 'uncaughtException', 'workerLost'
 ])
-/** Belief changes this long before the first line of a request belong to its story. */
-const BEFORE_MS = 1_000
+/** Cluster events this long before the first matching line are part of the trace. */
+const CONTEXT_BEFORE_MS = 1_000
 
 /**
- * Reads one line; text in front of the first pair, such as a collector's prefix, is left out.
+ * Parses one line; undefined when it is not a log line or has no `event`. Text before the first `time=` or `level=`, such as a collector's
+ * prefix, is ignored.
  *
  * @example
  * parseLogLine('time=1970-01-01T00:00:00.000Z level=info event=workerLost worker=w1')
@@ -26,28 +28,28 @@
   const start = text.search(/(^|\s)(time|level)=/)
   if (start < 0) return undefined
   const fields: Record<string, string> = {}
-  for (const [, name, quoted, plain] of text.slice(start).matchAll(/([A-Za-z]\w*)=(?:("(?:[^"\\]|\\.)*")|([^\s]*))/g)) {
-    fields[name] = quoted === undefined ? plain : readQuoted(quoted)
+  for (const [, name, quoted, unquoted] of text.slice(start).matchAll(/([A-Za-z]\w*)=(?:("(?:[^"\\]|\\.)*")|([^\s]*))/g)) {
+    fields[name] = quoted === undefined ? unquoted : readQuoted(quoted)
   }
   return fields.event === undefined ? undefined : { time: fields.time ?? '', event: fields.event, fields }
 }
 
 /**
- * The lines that concern a request id or a program id, with those of the program's other requests, and the changes of belief
- * around them, in order of time.
+ * The lines that mention a request id or a program id, and the cluster events from 1 s before the first to the last of them, in order of time.
+ * A program id finds the lines of all requests of the program. Empty when no line mentions the id.
  */
 export function traceLogs (lines: Iterable<string>, id: string): LogLine[] {
   const parsed = [...lines].flatMap(line => parseLogLine(line) ?? [])
-  const own = parsed.filter(line => concerns(line, id))
-  if (own.length === 0) return []
-  const times = own.map(line => Date.parse(line.time))
-  const fromMs = Math.min(...times) - BEFORE_MS
+  const matching = parsed.filter(line => mentions(line, id))
+  if (matching.length === 0) return []
+  const times = matching.map(line => Date.parse(line.time))
+  const fromMs = Math.min(...times) - CONTEXT_BEFORE_MS
   const toMs = Math.max(...times)
-  const beliefs = parsed.filter(line => BELIEF_EVENTS.has(line.event) && Date.parse(line.time) >= fromMs && Date.parse(line.time) <= toMs)
-  return [...new Set([...own, ...beliefs])].sort((left, right) => left.time < right.time ? -1 : left.time > right.time ? 1 : 0)
+  const clusterEvents = parsed.filter(line => CLUSTER_EVENTS.has(line.event) && Date.parse(line.time) >= fromMs && Date.parse(line.time) <= toMs)
+  return [...new Set([...matching, ...clusterEvents])].sort((left, right) => left.time < right.time ? -1 : left.time > right.time ? 1 : 0)
 }
 
-/** One line for a person: time, node, event and the other fields. */
+/** Formats a trace to be read by people, one line each: time of day, node, `!` unless the level is info, event and the other fields. */
 export function formatTrace (lines: readonly LogLine[]): string {
   return lines.map(({ time, event, fields }) => {
     const { time: _time, level, event: _event, node, ...rest } = fields
@@ -56,7 +58,8 @@
   }).join('\n')
 }
 
-function concerns ({ fields }: LogLine, id: string): boolean {
+/** Whether a line is of this request, this program, or a turn that continues this one. */
+function mentions ({ fields }: LogLine, id: string): boolean {
   return fields.requestId === id || fields.program === id || fields.previousTurn === id
 }
 
--- a/packages/cli/test/node/localFleet.test.ts
+++ b/packages/cli/test/node/localFleet.test.ts
@@ -1,3 +1,4 @@
+/** Callers, broken requests and untrusted peers against a local fleet over real sockets. */
 import { connect } from 'node:net'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -6,8 +7,8 @@
 import { toPrompt } from '@trefoilshunt/standins'
 import { LocalFleet } from '../../src/node/localFleet.js'
 
-const STREAMS = 50
-const RIDERS = { authorization: 'Bearer loopback-riders', 'content-type': 'application/json' }
+const STREAM_COUNT = 50
+const RIDERS_HEADERS = { authorization: 'Bearer loopback-riders', 'content-type': 'application/json' }
 
 async function withFleet (action: (fleet: LocalFleet) => Promise<void>): Promise<void> {
   const fleet = new LocalFleet({ zones: ['regina', 'saskatoon', 'brandon'], nodesPerZone: 1, document: HARROW_DOCUMENT, workers: { 'tailor-models': 6, 'shop-ledger': 2 } })
@@ -27,7 +28,7 @@
 test('a planned stop while 50 streams run cuts off none of them', async () => {
   await withFleet(async fleet => {
     const client = createClient(fleet)
-    const sessions = await Promise.all(Array.from({ length: STREAMS }, async () => (await client.open({ kind: 'fitting', retriesOverload: true, timeoutMs: 60_000 })).unsafeCoerce()))
+    const sessions = await Promise.all(Array.from({ length: STREAM_COUNT }, async () => (await client.open({ kind: 'fitting', retriesOverload: true, timeoutMs: 60_000 })).unsafeCoerce()))
     const failures: string[] = []
     client.options.onAttempt = attempt => { if (attempt.failure !== undefined) failures.push(attempt.failure.detail) }
     const runs = sessions.map(async (session, index) => {
@@ -47,10 +48,10 @@
   })
 })
 
-test('bad requests get a clear answer and hurt nobody', async () => {
+test('invalid requests get the status of their error, and the node keeps serving', async () => {
   await withFleet(async fleet => {
     const base = `http://${fleet.daemons[0].address}`
-    const post = async (path: string, body: string, headers: Record<string, string> = RIDERS) => (await fetch(`${base}${path}`, { method: 'POST', headers, body })).status
+    const post = async (path: string, body: string, headers: Record<string, string> = RIDERS_HEADERS) => (await fetch(`${base}${path}`, { method: 'POST', headers, body })).status
     assert.is(await post('/v1/programs', '{"kind":'), 400)
     assert.is(await post('/v1/programs', '{"kind":"fitting","key":"a","colour":"red"}'), 422)
     assert.is(await post('/v1/programs', '[]'), 422)
@@ -66,7 +67,7 @@
   })
 })
 
-test('a broken request line does not stop the node', async () => {
+test('a malformed request line gets status 400 and does not stop the node', async () => {
   await withFleet(async fleet => {
     const [host, port] = fleet.daemons[0].address.split(':')
     const answer = await new Promise<string>(resolve => {
@@ -81,7 +82,7 @@
   })
 })
 
-test('a customer sees no program of another one, at any node', async () => {
+test('no node shows a program to another customer than its own', async () => {
   await withFleet(async fleet => {
     const opened = (await createClient(fleet).open({ kind: 'fitting' })).unsafeCoerce()
     for (const daemon of fleet.daemons) {
@@ -93,7 +94,7 @@
   })
 })
 
-test('peers without the secret are not heard', async () => {
+test('messages of peers without the secret are rejected', async () => {
   await withFleet(async fleet => {
     const address = fleet.daemons[0].peerAddress
     const forward = await fetch(`http://${address}/forward`, { method: 'POST', headers: { 'x-peer-secret': 'guess' }, body: JSON.stringify({ request: { type: 'programs' }, hops: 0 }) })
--- a/packages/cli/test/node/traceLogs.test.ts
+++ b/packages/cli/test/node/traceLogs.test.ts
@@ -1,3 +1,4 @@
+/** Parsing of log lines, and which lines a trace contains. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { formatTrace, parseLogLine, traceLogs } from '../../src/node/traceLogs.js'
@@ -11,17 +12,17 @@
   'not a log line'
 ]
 
-test('lines are read whatever a collector puts in front, and quoted values keep their spaces', () => {
+test('the prefix of a log collector is ignored, and quoted values keep their spaces', () => {
   assert.equal(parseLogLine(LINES[0])?.fields.detail, 'no owner is known')
   assert.is(parseLogLine(LINES[0])?.fields.node, 'regina-1')
   assert.is(parseLogLine('not a log line'), undefined)
 })
 
-test('a request is told with the changes of belief around it', () => {
+test('the trace of a request contains the cluster events shortly before it', () => {
   assert.equal(traceLogs(LINES, 'r2').map(line => line.event), ['partitionLost', 'requestEnded'])
 })
 
-test('a program is told with all its requests in order of time, over all nodes', () => {
+test('the trace of a program contains all its requests on all nodes in order of time', () => {
   const trace = traceLogs(LINES, 'p')
   assert.equal(trace.map(line => line.event), ['workerChosen', 'partitionLost', 'requestEnded'])
   assert.ok(formatTrace(trace).includes('no owner is known'))
