--- a/packages/cli/src/node/configCommands.ts
+++ b/packages/cli/src/node/configCommands.ts
@@ -4,7 +4,7 @@
 import { ExitCode } from '../common/exitCodes.js'
 import { formatTable } from '../common/table.js'
 import { readDocument } from './files.js'
-import { sendOperatorRequest, type ConnectionOptions } from './operatorClient.js'
+import { type ConnectionOptions, sendOperatorRequest } from './operatorClient.js'
 import { type OutputOptions, printError, printResult } from './output.js'
 
 /** Options of the commands that send requests to nodes. */
--- a/packages/standins/src/common/cacheEventLog.ts
+++ b/packages/standins/src/common/cacheEventLog.ts
@@ -1,24 +1,26 @@
-/** The cache events that an engine publishes: late, and with gaps. */
+/** The cache events that an engine publishes, with a delay and with gaps. */
 import type { CacheEvent } from '@trefoilshunt/core'
 import type { IStandinHost } from './standinHost.js'
 
-/** Events that can still be read. */
-const EVENTS_KEPT = 1_000
+/** Older events are dropped. */
+const MAX_EVENTS = 1_000
 
+/** Delay and gaps of the events. */
 export interface CacheEventLogOptions {
-  /** Age of an event when it can be read. */
+  /** Age from which an event can be read. */
   lagMs: number
-  /** One of so many events is lost. */
+  /** Every event whose sequence number is a multiple of this is lost. */
   lossEvery: number
 }
 
+/** Numbers events from 1; a lost event leaves a gap in the numbers. */
 export class CacheEventLog {
   private readonly _events: Array<{ atMs: number, event: CacheEvent }> = []
   private _lastSequence = 0
 
   constructor (private readonly _options: CacheEventLogOptions, private readonly _host: IStandinHost) {}
 
-  /** Events from a sequence on that are old enough to be seen. */
+  /** Events from a sequence number on that are old enough to be read. */
   read (fromSequence: number): CacheEvent[] {
     const untilMs = this._host.nowMs() - this._options.lagMs
     return this._events.filter(({ atMs, event }) => atMs <= untilMs && event.sequence >= fromSequence).map(({ event }) => event)
@@ -28,6 +30,6 @@
     this._lastSequence++
     const isLost = this._lastSequence % this._options.lossEvery === 0
     if (!isLost) this._events.push({ atMs: this._host.nowMs(), event: { sequence: this._lastSequence, kind, session } })
-    if (this._events.length > EVENTS_KEPT) this._events.shift()
+    if (this._events.length > MAX_EVENTS) this._events.shift()
   }
 }
--- a/packages/standins/src/common/modelEngine.ts
+++ b/packages/standins/src/common/modelEngine.ts
@@ -1,34 +1,37 @@
-/** A model engine: continuous batching, prefix cache in limited memory, priorities, crashes on request. */
+/** Stand-in for a model engine: continuous batching, a prefix cache in limited memory, priorities, and crashes on request. */
 import { type BackendEvent, type CacheEvent, type ChatMessage, type EngineRequest, type EngineStatus, hash32, type IDisposable, toDisposable } from '@trefoilshunt/core'
-import { answerLength, answerToken, isPoison, tokensOf } from './answers.js'
+import { answerToken, countTokens, isPoison, requestedAnswerTokens } from './answers.js'
 import { CacheEventLog } from './cacheEventLog.js'
 import { PrefixCache } from './prefixCache.js'
 import type { WeightStore } from './weightStore.js'
 import type { IStandinHost } from './standinHost.js'
 
+/** Speed, capacity and behaviour of an engine. */
 export interface ModelEngineOptions {
   name: string
   model: string
   /** Sequences decoded at once. */
   maxBatch: number
-  /** Time of one decoding step with an empty batch. */
+  /** Time of a decoding step, without what its sequences add. */
   stepBaseMs: number
   /** Time that each sequence adds to a step. */
   stepPerSequenceMs: number
   prefillMsPerToken: number
-  /** Prompt tokens computed in one step at the most. */
+  /** Most prompt tokens that are computed in one step. */
   prefillTokensPerStep: number
+  /** Tokens that the prefix cache and the active sequences can hold together. */
   kvTokensCapacity: number
-  /** Age of a load report when it is read. */
+  /** Minimum age of the load report that `status` returns, once there is one so old. */
   reportLagMs: number
-  /** Age of a cache event when it can be read. */
+  /** Age from which a cache event can be read. */
   eventLagMs: number
-  /** One of so many cache events is lost. */
+  /** Every cache event whose sequence number is a multiple of this is lost. */
   eventLossEvery: number
-  /** Tokens sent in one chunk of a stream. */
+  /** Tokens in one chunk of a stream; the first and the last chunk may have fewer. */
   chunkTokens: number
+  /** Refuses orders to load a model whose fencing number is lower than the highest one seen. */
   checksFencing: boolean
-  /** Where models are loaded from; loading takes no time without one. */
+  /** Store that models are loaded from; loading takes no time without one. */
   weights?: WeightStore
   modelBytes: number
   /** Most tokens that any engine has held for each program; shared by the engines of a model, for measurements. */
@@ -50,43 +53,50 @@
   modelBytes: 10_000_000_000
 }
 
+/** A request that waits or is being processed. */
 interface Sequence {
   request: EngineRequest
   listener: (event: BackendEvent) => void
   promptTokens: number
   cachedTokens: number
+  /** Prompt tokens that remain to be computed. */
   prefillLeft: number
   promptHash: number
-  /** Index of the next token of the whole answer. */
-  position: number
-  length: number
+  /** Index of the next token in the whole answer, a part of which may be in the request already. */
+  nextTokenIndex: number
+  /** Generation ends before the token with this index. */
+  endTokenIndex: number
+  /** Tokens generated for this request. */
   generated: number
   firstTokenAtMs: number
   pendingText: string
   pendingTokens: number
 }
 
-/** Figures that checkers and experiments read. */
+/** Counters that checkers and experiments read. */
 export interface EngineCounters {
   /** Tokens generated, by program. */
   generatedBySession: Map<string, number>
   prefillTokens: number
   cachedTokens: number
-  /** Prompt tokens computed although some engine had held them for the same program. */
+  /** Prompt tokens computed although an engine of the model had held them before for the same program. */
   recomputedTokens: number
   generatedTokens: number
   /** Tokens generated for requests with a raised priority. */
   urgentTokens: number
   startedCalls: number
-  /** Mean time between tokens of each finished call. */
+  /** Mean time between tokens of each finished call with at least two. */
   tokenGapsMs: number[]
   crashes: number
+  /** Orders to load a model that were accepted. */
   loads: number
+  /** Time at which the last call began to be processed; 0 before the first. */
   lastStartMs: number
 }
 
 /**
- * One worker of a model.
+ * One worker of a model. The calls in its batch advance together: a step computes a part of their prompts and one token of each call whose prompt is
+ * complete. A call waits behind those of the same or a higher priority.
  *
  * @example
  * const engine = new ModelEngine({ name: 'tailor-1', model: 'tailor-models' }, host)
@@ -97,35 +107,37 @@
   readonly counters: EngineCounters = { generatedBySession: new Map(), prefillTokens: 0, cachedTokens: 0, recomputedTokens: 0, generatedTokens: 0, urgentTokens: 0, startedCalls: 0, tokenGapsMs: [], crashes: 0, loads: 0, lastStartMs: 0 }
   private readonly _active = new Set<Sequence>()
   private _queue: Sequence[] = []
-  private _step: IDisposable | undefined
+  private _stepTimer: IDisposable | undefined
   private _isDown = false
   private _isLeaving = false
-  private _reports: Array<{ atMs: number, status: EngineStatus }> = []
+  private _statusReports: Array<{ atMs: number, status: EngineStatus }> = []
   private _highestFencingNumber = -1
   private _model: string
   private _slowFactor = 1
-  private readonly _events: CacheEventLog
+  private readonly _cacheEventLog: CacheEventLog
 
   constructor (options: Partial<ModelEngineOptions> & Pick<ModelEngineOptions, 'name' | 'model'>, private readonly _host: IStandinHost) {
     this.options = { ...DEFAULTS, heldBefore: new Map(), ...options }
     this._model = options.model
-    this._events = new CacheEventLog({ lagMs: this.options.eventLagMs, lossEvery: this.options.eventLossEvery }, _host)
-    this.cache.onDidEvict = session => this._events.publish('evicted', session)
+    this._cacheEventLog = new CacheEventLog({ lagMs: this.options.eventLagMs, lossEvery: this.options.eventLossEvery }, _host)
+    this.cache.onDidEvict = session => this._cacheEventLog.publish('evicted', session)
   }
 
   get isDown (): boolean {
     return this._isDown
   }
 
+  /** Calls in the batch. */
   get activeCount (): number {
     return this._active.size
   }
 
+  /** Calls that wait for a place in the batch. */
   get queuedCount (): number {
     return this._queue.length
   }
 
-  /** Starts a completion. Chunks and one final event go to the listener. */
+  /** Starts a completion. Chunks and one final event go to the listener; disposing the result cancels the call and keeps what it has cached. */
   call (request: EngineRequest, listener: (event: BackendEvent) => void): IDisposable {
     if (this._isDown) {
       listener({ type: 'failed', isUntouched: true, isConnectionLost: false, isLeaving: false, detail: 'connection refused' })
@@ -146,75 +158,80 @@
     return toDisposable(() => this._cancel(sequence))
   }
 
-  /** A load report, old by the report lag. */
+  /** The newest report of an earlier or this call that is at least `reportLagMs` old, or the oldest one while none is. */
   status (): EngineStatus {
     const nowMs = this._host.nowMs()
-    this._reports.push({ atMs: nowMs, status: this._currentStatus() })
-    while (this._reports.length > 1 && this._reports[1].atMs <= nowMs - this.options.reportLagMs) this._reports.shift()
-    return this._reports[0].status
+    this._statusReports.push({ atMs: nowMs, status: this._currentStatus() })
+    while (this._statusReports.length > 1 && this._statusReports[1].atMs <= nowMs - this.options.reportLagMs) this._statusReports.shift()
+    return this._statusReports[0].status
   }
 
-  /** Cache events from a sequence on that can be seen by now. */
+  /** Cache events from a sequence number on that can be read by now. */
   cacheEvents (fromSequence: number): CacheEvent[] {
-    return this._events.read(fromSequence)
+    return this._cacheEventLog.read(fromSequence)
   }
 
-  /** What the engine holds now; for checkers. */
+  /** Cached tokens of each program now; for checkers. */
   heldSessions (): Array<{ session: string, tokens: number }> {
     return this.cache.sessions()
   }
 
+  /** Drops the cache of a program, without a cache event. */
   release (session: string): void {
     this.cache.release(session)
   }
 
-  /** Exported cache of a program, in tokens. */
+  /** Size of a program's cache for another engine to import, in tokens. */
   exportCache (session: string): number {
     return this.cache.tokensOf(session)
   }
 
+  /** Stores the cache of a program from another engine and evicts others if there is not enough capacity. */
   importCache (session: string, tokens: number): void {
-    this._makeRoom(tokens)
+    this._freeCapacity(tokens)
     this.cache.store(session, tokens, this._host.nowMs())
   }
 
-  /** Takes an order to load a model; false when its fencing number is older than one seen and the engine checks. */
+  /** Loads a model and drops the cache. False, without effect, when the engine checks fencing and has seen a higher fencing number. */
   load (model: string, fencingNumber: number): boolean {
     if (this.options.checksFencing && fencingNumber < this._highestFencingNumber) return false
     this._highestFencingNumber = Math.max(this._highestFencingNumber, fencingNumber)
     this.counters.loads++
     this._model = ''
     this.cache.clear()
-    const finish = () => { this._model = model }
-    if (this.options.weights === undefined) finish()
-    else this.options.weights.load(this.options.modelBytes, finish)
+    const onLoaded = () => { this._model = model }
+    if (this.options.weights === undefined) onLoaded()
+    else this.options.weights.load(this.options.modelBytes, onLoaded)
     return true
   }
 
+  /** The loaded model; empty while one is being loaded. */
   get model (): string {
     return this._model
   }
 
+  /** Refuses new calls from now on; the calls in progress continue. */
   setLeaving (): void {
     this._isLeaving = true
   }
 
+  /** Multiplies the time of every step by `factor`. */
   setSlow (factor: number): void {
     this._slowFactor = factor
   }
 
-  /** Drops every connection and the cache. */
+  /** Fails every call, drops the cache and refuses calls until `restart`. */
   crash (): void {
-    const lost = [...this._active, ...this._queue]
+    const interrupted = [...this._active, ...this._queue]
     this._active.clear()
     this._queue = []
-    this._step?.dispose()
-    this._step = undefined
+    this._stepTimer?.dispose()
+    this._stepTimer = undefined
     this._isDown = true
     this.counters.crashes++
     this.cache.clear()
-    this._reports = []
-    for (const sequence of lost) {
+    this._statusReports = []
+    for (const sequence of interrupted) {
       sequence.listener({ type: 'failed', isUntouched: false, isConnectionLost: true, isLeaving: false, detail: 'connection reset' })
     }
   }
@@ -226,8 +243,8 @@
   private _createSequence (request: EngineRequest, listener: (event: BackendEvent) => void): Sequence {
     const prompt = lastPrompt(request.messages)
     const last = request.messages.at(-1)
-    const position = last?.role === 'assistant' ? tokensOf(last.content) : 0
-    const promptTokens = request.messages.reduce((sum, message) => sum + tokensOf(message.content), 0)
+    const nextTokenIndex = last?.role === 'assistant' ? countTokens(last.content) : 0
+    const promptTokens = request.messages.reduce((sum, message) => sum + countTokens(message.content), 0)
     return {
       request,
       listener,
@@ -235,8 +252,8 @@
       cachedTokens: 0,
       prefillLeft: promptTokens,
       promptHash: hash32(prompt),
-      position,
-      length: Math.min(answerLength(prompt), position + request.maxTokens),
+      nextTokenIndex,
+      endTokenIndex: Math.min(requestedAnswerTokens(prompt), nextTokenIndex + request.maxTokens),
       generated: 0,
       firstTokenAtMs: 0,
       pendingText: '',
@@ -246,15 +263,15 @@
 
   private _cancel (sequence: Sequence): void {
     this._queue = this._queue.filter(other => other !== sequence)
-    if (this._active.delete(sequence)) this._keepCache(sequence)
+    if (this._active.delete(sequence)) this._storeInCache(sequence)
   }
 
   private _schedule (): void {
-    if (this._step !== undefined || this._isDown) return
+    if (this._stepTimer !== undefined || this._isDown) return
     this._fillBatch()
     if (this._active.size === 0) return
-    this._step = this._host.after(this._stepMs(), () => {
-      this._step = undefined
+    this._stepTimer = this._host.after(this._stepMs(), () => {
+      this._stepTimer = undefined
       this._runStep()
       this._schedule()
     })
@@ -263,13 +280,14 @@
   private _fillBatch (): void {
     while (this._queue.length > 0 && this._active.size < this.options.maxBatch) {
       const sequence = this._queue[0]
-      if (!this._hasRoom(sequence)) return
+      if (!this._hasCapacity(sequence)) return
       this._queue.shift()
       this._start(sequence)
     }
   }
 
-  private _hasRoom (sequence: Sequence): boolean {
+  /** Whether the sequence fits beside the active ones; one sequence alone always may start. */
+  private _hasCapacity (sequence: Sequence): boolean {
     const needed = sequence.promptTokens + sequence.request.maxTokens
     return this._active.size === 0 || this._activeTokens() + needed <= this.options.kvTokensCapacity
   }
@@ -279,14 +297,14 @@
     sequence.cachedTokens = Math.min(this.cache.tokensOf(session), sequence.promptTokens)
     sequence.prefillLeft = sequence.promptTokens - sequence.cachedTokens
     this.cache.release(session)
-    this._makeRoom(sequence.promptTokens + sequence.request.maxTokens)
+    this._freeCapacity(sequence.promptTokens + sequence.request.maxTokens)
     this._active.add(sequence)
     this.counters.startedCalls++
     this.counters.lastStartMs = this._host.nowMs()
     this.counters.prefillTokens += sequence.prefillLeft
     this.counters.cachedTokens += sequence.cachedTokens
-    const heldBefore = Math.min(this.options.heldBefore.get(session) ?? 0, sequence.promptTokens)
-    this.counters.recomputedTokens += Math.max(0, heldBefore - sequence.cachedTokens)
+    const tokensHeldBefore = Math.min(this.options.heldBefore.get(session) ?? 0, sequence.promptTokens)
+    this.counters.recomputedTokens += Math.max(0, tokensHeldBefore - sequence.cachedTokens)
   }
 
   private _activeTokens (): number {
@@ -295,21 +313,21 @@
     return tokens
   }
 
-  private _makeRoom (tokens: number): void {
+  private _freeCapacity (tokens: number): void {
     const excess = this._activeTokens() + this.cache.tokens + tokens - this.options.kvTokensCapacity
     if (excess > 0) this.cache.evict(excess, this._host.nowMs())
   }
 
-  /** Sequences share the prefill of a step in order of arrival. */
-  private _prefillOfStep (): number {
-    let left = this.options.prefillTokensPerStep
-    for (const sequence of this._active) left -= Math.min(left, sequence.prefillLeft)
-    return this.options.prefillTokensPerStep - left
+  /** Prompt tokens that the next step computes; the sequences share them in order of their start. */
+  private _prefillTokensOfNextStep (): number {
+    let remainingTokens = this.options.prefillTokensPerStep
+    for (const sequence of this._active) remainingTokens -= Math.min(remainingTokens, sequence.prefillLeft)
+    return this.options.prefillTokensPerStep - remainingTokens
   }
 
   private _stepMs (): number {
     const { stepBaseMs, stepPerSequenceMs, prefillMsPerToken } = this.options
-    return this._slowFactor * (stepBaseMs + stepPerSequenceMs * this._active.size + prefillMsPerToken * this._prefillOfStep())
+    return this._slowFactor * (stepBaseMs + stepPerSequenceMs * this._active.size + prefillMsPerToken * this._prefillTokensOfNextStep())
   }
 
   private _runStep (): void {
@@ -328,21 +346,21 @@
   }
 
   private _decode (sequence: Sequence): void {
-    if (sequence.position < sequence.length) {
-      sequence.pendingText += answerToken(sequence.promptHash, sequence.position)
+    if (sequence.nextTokenIndex < sequence.endTokenIndex) {
+      sequence.pendingText += answerToken(sequence.promptHash, sequence.nextTokenIndex)
       sequence.pendingTokens++
-      sequence.position++
+      sequence.nextTokenIndex++
       sequence.generated++
-      this._count(sequence.request)
+      this._countToken(sequence.request)
     }
-    const isDone = sequence.position >= sequence.length
+    const isDone = sequence.nextTokenIndex >= sequence.endTokenIndex
     const isFirst = sequence.generated === 1
     if (isFirst) sequence.firstTokenAtMs = this._host.nowMs()
     if (isDone || isFirst || sequence.pendingTokens >= this.options.chunkTokens) this._sendChunk(sequence)
     if (isDone) this._finish(sequence)
   }
 
-  private _count ({ session, priority }: EngineRequest): void {
+  private _countToken ({ session, priority }: EngineRequest): void {
     const { generatedBySession } = this.counters
     this.counters.generatedTokens++
     if (priority > 0) this.counters.urgentTokens++
@@ -359,17 +377,17 @@
 
   private _finish (sequence: Sequence): void {
     this._active.delete(sequence)
-    this._keepCache(sequence)
+    this._storeInCache(sequence)
     const { promptTokens, cachedTokens, generated, firstTokenAtMs } = sequence
     if (generated > 1) this.counters.tokenGapsMs.push((this._host.nowMs() - firstTokenAtMs) / (generated - 1))
     sequence.listener({ type: 'modelDone', result: { type: 'model', text: '', promptTokens, completionTokens: generated, cachedTokens } })
   }
 
-  private _keepCache (sequence: Sequence): void {
+  private _storeInCache (sequence: Sequence): void {
     const { session, retainMs } = sequence.request
     const tokens = sequence.promptTokens - sequence.prefillLeft + sequence.generated
     this.cache.store(session, tokens, this._host.nowMs() + retainMs)
-    this._events.publish('stored', session)
+    this._cacheEventLog.publish('stored', session)
     this.options.heldBefore.set(session, Math.max(tokens, this.options.heldBefore.get(session) ?? 0))
   }
 
--- a/packages/standins/src/common/prefixCache.ts
+++ b/packages/standins/src/common/prefixCache.ts
@@ -1,21 +1,23 @@
-/** Key-value cache of one engine, by program, in limited memory. */
+/** Key-value cache of one engine, in tokens by program. */
 
 interface CacheEntry {
   tokens: number
   retainUntilMs: number
 }
 
-/** Least recently used programs go first, those whose retention has ended before the others. */
+/** Evicts the least recently stored programs first, and those whose retention has ended before all others. */
 export class PrefixCache {
   private readonly _entries = new Map<string, CacheEntry>()
   /** Called for every program that is evicted for lack of memory. */
   onDidEvict: (session: string) => void = () => {}
   private _tokens = 0
 
+  /** Tokens of all programs. */
   get tokens (): number {
     return this._tokens
   }
 
+  /** Cached tokens of a program, 0 if there are none. */
   tokensOf (session: string): number {
     return this._entries.get(session)?.tokens ?? 0
   }
@@ -24,6 +26,7 @@
     return [...this._entries].map(([session, entry]) => ({ session, tokens: entry.tokens }))
   }
 
+  /** Replaces the cache of a program. */
   store (session: string, tokens: number, retainUntilMs: number): void {
     this.release(session)
     this._entries.set(session, { tokens, retainUntilMs })
@@ -37,7 +40,7 @@
     this._entries.delete(session)
   }
 
-  /** Frees at least `tokens`, if there is as much. */
+  /** Evicts programs until at least `tokens` tokens are freed or the cache is empty. */
   evict (tokens: number, nowMs: number): void {
     let freed = 0
     const expired = [...this._entries].filter(([, entry]) => entry.retainUntilMs < nowMs)
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins of the systems that trefoilshunt talks to. */
+/** Stand-ins for the platform, the model engines and the services that trefoilshunt uses, for tests, the demo and measurements. */
 export * from './common/answers.js'
 export * from './common/keyedLog.js'
 export * from './common/logService.js'
--- a/packages/standins/src/node/engineServer.ts
+++ b/packages/standins/src/node/engineServer.ts
@@ -1,4 +1,4 @@
-/** The model engine stand-in as an HTTP server. */
+/** Serves the model engine stand-in over HTTP. */
 import { request } from 'undici'
 import type { BackendEvent } from '@trefoilshunt/core'
 import { ENGINE_PATHS, engineRequestSchema, fromEngineBody, LEAVING_HEADER, NOT_RUN_HEADER } from '@trefoilshunt/protocol'
@@ -6,6 +6,7 @@
 import { realHost } from './realHost.js'
 import { sendJson, type StandinRequest, StandinServer } from './standinServer.js'
 
+/** One engine with its server. `POST /faults` takes `fault`: `crash`, `restart`, `leaving`, or `slow` with `factor`. */
 export class EngineServer {
   readonly engine: ModelEngine
   readonly server = new StandinServer()
@@ -66,6 +67,7 @@
   }
 }
 
+/** Writes a chunk or the end of a completion as server-sent events. */
 function writeEvent (response: StandinRequest['response'], event: BackendEvent): void {
   if (event.type === 'chunk') {
     response.write(`data: ${JSON.stringify({ choices: [{ index: 0, delta: { content: event.text } }], tokens: event.tokens })}\n\n`)
--- a/packages/standins/src/node/platformServer.ts
+++ b/packages/standins/src/node/platformServer.ts
@@ -1,4 +1,4 @@
-/** The log service and the VM list as one HTTP server. */
+/** Serves the stand-ins for the log service and the VM list over HTTP. */
 import type { LogRecord } from '@trefoilshunt/core'
 import { appendBodySchema, VM_LIST_PATH } from '@trefoilshunt/protocol'
 import { type AppendFault, LogService, type LogServiceOptions } from '../common/logService.js'
@@ -6,8 +6,13 @@
 import { realHost } from './realHost.js'
 import { sendJson, type StandinRequest, StandinServer } from './standinServer.js'
 
+/** Records of a read without `limit`. */
 const DEFAULT_READ_LIMIT = 500
 
+/**
+ * The log and the VM list with their server. `POST /faults` takes `fault`: `down`, `up`, `slow` with `delayMs`, or the value of an `AppendFault` with
+ * `count`.
+ */
 export class PlatformServer {
   readonly log: LogService
   readonly vmList: VmList
--- a/packages/standins/src/node/toolServer.ts
+++ b/packages/standins/src/node/toolServer.ts
@@ -1,9 +1,10 @@
-/** The tool service stand-in as an HTTP server. */
+/** Serves the tool service stand-in over HTTP. */
 import { IDEMPOTENCY_HEADER, LEAVING_HEADER, NOT_RUN_HEADER, SERVICE_LOOKUP_PATH } from '@trefoilshunt/protocol'
 import { type ToolDatabase, ToolService, type ToolServiceOptions } from '../common/toolService.js'
 import { realHost } from './realHost.js'
 import { sendJson, type StandinRequest, StandinServer } from './standinServer.js'
 
+/** One worker of a service with its server. `POST /faults` takes `fault`: `crash`, `restart`, `leaving`, or `hang` and `dropAnswers` with `count`. */
 export class ToolServer {
   readonly service: ToolService
   readonly server = new StandinServer()
