--- a/packages/core/src/common/programs/serviceSteps.ts
+++ b/packages/core/src/common/programs/serviceSteps.ts
@@ -28,12 +28,12 @@
     } else if (call.isRepeatable) {
       this._dispatchService(started, call)
     } else {
-      this._claim(started, call)
+      this._recordIntent(started, call)
     }
   }
 
   /** Appends an intent record and sends the call only when the record has landed with no fence before it. */
-  private _claim (started: StartedStep, call: ServiceCall): void {
+  private _recordIntent (started: StartedStep, call: ServiceCall): void {
     const { program, request, running, deadlineMs } = started
     const { programId } = program.state
     const attempt = this._clock.nowMs()
--- a/packages/testing/test/common/checkers/brokenParts.test.ts
+++ b/packages/testing/test/common/checkers/brokenParts.test.ts
@@ -54,7 +54,7 @@
 
 test('a claim that is skipped is caught', async () => {
   const skip = () => function (this: { _dispatchService: (started: unknown, call: unknown) => void }, started: unknown, call: unknown) { this._dispatchService(started, call) }
-  assert.ok(await withBroken(ServiceSteps.prototype, '_claim', skip, async () => await isCaught('runs at most once', kills, {}, SLOW_TOOLS)))
+  assert.ok(await withBroken(ServiceSteps.prototype, '_recordIntent', skip, async () => await isCaught('runs at most once', kills, {}, SLOW_TOOLS)))
   assert.ok(await isClean(kills, {}, SLOW_TOOLS))
 })
 
