--- a/packages/testing/src/common/capacity/designSize.ts
+++ b/packages/testing/src/common/capacity/designSize.ts
@@ -12,7 +12,7 @@
   models: 20,
   zones: 6,
   changesPerDay: 2_100,
-  inForceWithinMs: 11_000,
+  maxActivationMs: 11_000,
   controlCoreShare: 0.034,
   controlBytes: 64_000_000,
   controlBytesPerSecond: 3_000,
--- a/packages/testing/src/common/capacity/fit.ts
+++ b/packages/testing/src/common/capacity/fit.ts
@@ -21,8 +21,8 @@
   const covariance = points.reduce((sum, point) => sum + (point.x - meanX) * (point.y - meanY), 0)
   const slope = variance === 0 ? 0 : covariance / variance
   const intercept = meanY - slope * meanX
-  const squares = points.reduce((sum, point) => sum + (point.y - intercept - slope * point.x) ** 2, 0)
-  return { intercept, slope, residual: meanY === 0 ? 0 : Math.sqrt(squares / count) / Math.abs(meanY) }
+  const squaredResiduals = points.reduce((sum, point) => sum + (point.y - intercept - slope * point.x) ** 2, 0)
+  return { intercept, slope, residual: meanY === 0 ? 0 : Math.sqrt(squaredResiduals / count) / Math.abs(meanY) }
 }
 
 /** The fitted value at a point. */
--- a/packages/testing/src/common/capacity/slopes.ts
+++ b/packages/testing/src/common/capacity/slopes.ts
@@ -8,9 +8,9 @@
 import { FITTING_SHAPE } from '../workload/shapes.js'
 import { fitLine, type Line, type Point } from './fit.js'
 
-const SETTLE_MS = 10_000
+const WARM_UP_MS = 10_000
 const MEASURED_MS = 60_000
-const SECONDS = MEASURED_MS / 1_000
+const MEASURED_SECONDS = MEASURED_MS / 1_000
 const APPLY_TIMEOUT_MS = 10_000
 const ZONES = ['a', 'b', 'c', 'd', 'e', 'f']
 const TARGETS = { fitting: { targetMs: 60_000, rank: 'urgent' } }
@@ -50,7 +50,7 @@
   const bySteps = await measureSteps(meter, seed)
   return {
     slopes: [...byNodes, ...byWorkers, ...bySteps.slopes, ...measurePrograms(meter)],
-    costs: [...bySteps.costs, ...measureLeads(meter, seed), ...measureFolds(meter)]
+    costs: [...bySteps.costs, ...measureCoordinatorTable(meter, seed), ...measureFolds(meter)]
   }
 }
 
@@ -58,7 +58,7 @@
   return { name, per, unit, points, ...fitLine(points) }
 }
 
-interface Idle {
+interface IdleNodeCost {
   messages: number
   bytes: number
   logReads: number
@@ -67,18 +67,18 @@
 }
 
 /** What one node of an idle fleet costs a second. */
-async function runIdle (meter: IMeter, seed: number, nodes: number, workers: number): Promise<Idle> {
+async function measureIdleNode (meter: IMeter, seed: number, nodes: number, workers: number): Promise<IdleNodeCost> {
   const fleet = new Fleet({ seed, zones: ZONES, nodesPerZone: 0, stopwatch: () => meter.nowMs(), countsBytes: true })
   fleet.addEngines('tailor-models', workers)
   fleet.addServices('shop-ledger', 2)
   for (let index = 0; index < nodes; index++) fleet.startNode(`${ZONES[index % ZONES.length]}-${index}`, ZONES[index % ZONES.length])
   fleet.vmList.publishNow()
   await applyDocument(fleet)
-  await fleet.runUntil(SETTLE_MS)
+  await fleet.runUntil(WARM_UP_MS)
   const before = { ...fleet.counters }
   const cpuBefore = totalKernelMs(fleet)
-  await fleet.runUntil(SETTLE_MS + MEASURED_MS)
-  const perNode = (value: number) => value / nodes / SECONDS
+  await fleet.runUntil(WARM_UP_MS + MEASURED_MS)
+  const perNode = (value: number) => value / nodes / MEASURED_SECONDS
   return {
     messages: perNode(fleet.counters.peerMessages - before.peerMessages),
     bytes: perNode(fleet.counters.peerBytes - before.peerBytes),
@@ -89,7 +89,7 @@
 }
 
 async function applyDocument (fleet: Fleet): Promise<void> {
-  await fleet.runUntil(SETTLE_MS / 4)
+  await fleet.runUntil(WARM_UP_MS / 4)
   const address = fleet.liveNodes()[0].identity.address
   const applied = fleet.send(address, { type: 'apply', environment: 'production', baseRevision: 0, document: HARROW_DOCUMENT, by: 'operator' }, { timeoutMs: APPLY_TIMEOUT_MS })
   await fleet.runWhile(applied, APPLY_TIMEOUT_MS)
@@ -104,9 +104,9 @@
   const bytes: Point[] = []
   const cpu: Point[] = []
   const reads: Point[] = []
-  await runIdle(meter, seed, 6, 6)
+  await measureIdleNode(meter, seed, 6, 6)
   for (const nodes of [12, 24, 48, 96]) {
-    const idle = await runIdle(meter, seed, nodes, nodes)
+    const idle = await measureIdleNode(meter, seed, nodes, nodes)
     messages.push({ x: nodes, y: idle.messages })
     bytes.push({ x: nodes, y: idle.bytes })
     cpu.push({ x: nodes, y: idle.cpuShare })
@@ -124,7 +124,7 @@
   const calls: Point[] = []
   const cpu: Point[] = []
   for (const workers of [12, 48, 96, 192]) {
-    const idle = await runIdle(meter, seed, 12, workers)
+    const idle = await measureIdleNode(meter, seed, 12, workers)
     calls.push({ x: workers / 12, y: idle.backendCalls })
     cpu.push({ x: workers / 12, y: idle.cpuShare })
   }
@@ -146,7 +146,7 @@
     fleet.addServices('shop-ledger', 4)
     fleet.startNodes()
     await applyDocument(fleet)
-    await fleet.runUntil(SETTLE_MS)
+    await fleet.runUntil(WARM_UP_MS)
     const before = { appends: fleet.log.appendCount, bytes: fleet.log.appendedBytes, cpu: totalKernelMs(fleet) }
     const record = new RunRecord()
     const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets: TARGETS, streamEvery: 1 })
@@ -155,7 +155,7 @@
       await fleet.clientHost.sleep(index * MEASURED_MS / programs)
       return await driver.run(createPlan({ ...FITTING_SHAPE, childShare: 0 }, random))
     })
-    await fleet.runWhile(Promise.all(runs), SETTLE_MS + 10 * MEASURED_MS)
+    await fleet.runWhile(Promise.all(runs), WARM_UP_MS + 10 * MEASURED_MS)
     const steps = record.steps.length
     const generated = [...fleet.engines.values()].reduce((sum, engine) => sum + engine.counters.generatedTokens, 0)
     tokensPerStep = generated / steps
@@ -177,33 +177,33 @@
 function measurePrograms (meter: IMeter): Slope[] {
   const byPrograms: Point[] = []
   const byTokens: Point[] = []
-  for (const count of [1_000, 2_000, 4_000, 8_000]) byPrograms.push({ x: count, y: heapOf(meter, () => createPrograms(count, 1, 10)) })
-  for (const tokens of [100, 200, 400, 800]) byTokens.push({ x: 200 * 20 * tokens, y: heapOf(meter, () => createPrograms(200, 20, tokens)) })
+  for (const count of [1_000, 2_000, 4_000, 8_000]) byPrograms.push({ x: count, y: measureHeapBytes(meter, () => foldPrograms(count, 1, 10)) })
+  for (const tokens of [100, 200, 400, 800]) byTokens.push({ x: 200 * 20 * tokens, y: measureHeapBytes(meter, () => foldPrograms(200, 20, tokens)) })
   return [
     toSlope('memory of a program with one short turn', 'program', 'bytes', byPrograms),
     toSlope('memory of histories', 'token', 'bytes', byTokens)
   ]
 }
 
-function heapOf (meter: IMeter, create: () => unknown): number {
+function measureHeapBytes (meter: IMeter, create: () => unknown): number {
   const before = meter.heapBytes()
-  const kept = create()
+  const created = create()
   const after = meter.heapBytes()
-  return kept === undefined ? 0 : after - before
+  return created === undefined ? 0 : after - before
 }
 
 /** Folds the journal of many programs, as a takeover does. */
-function createPrograms (count: number, turns: number, tokens: number): unknown {
+function foldPrograms (count: number, turns: number, tokens: number): unknown {
   const state = createJournalState()
   let offset = 0
   for (let index = 0; index < count; index++) {
-    for (const record of createRecords(index, turns, tokens)) foldJournalRecord(state, { offset: offset++, record })
+    for (const record of createProgramRecords(index, turns, tokens)) foldJournalRecord(state, { offset: offset++, record })
   }
   state.ids.clear()
   return state
 }
 
-function createRecords (index: number, turns: number, tokens: number): LogRecord[] {
+function createProgramRecords (index: number, turns: number, tokens: number): LogRecord[] {
   const programId = `regina-1.a00001.${index}`
   const program: ProgramState = {
     programId,
@@ -222,12 +222,12 @@
     workers: []
   }
   const records: LogRecord[] = [{ id: `o${index}`, type: 'programSnapshot', program } as LogRecord]
-  for (let step = 1; step <= turns; step++) records.push(createTurn(programId, index, step, tokens))
+  for (let step = 1; step <= turns; step++) records.push(createTurnRecord(programId, index, step, tokens))
   // A record read from the log shares nothing with another one.
   return JSON.parse(JSON.stringify(records)) as LogRecord[]
 }
 
-function createTurn (programId: string, index: number, step: number, tokens: number): LogRecord {
+function createTurnRecord (programId: string, index: number, step: number, tokens: number): LogRecord {
   const text = `${index}/${step} `.padEnd(tokens * 2, 'abcd')
   return {
     id: `t${index}/${step}`,
@@ -244,7 +244,7 @@
 }
 
 /** The lead table of the designed size, computed anew after a change of membership. */
-function measureLeads (meter: IMeter, seed: number): Cost[] {
+function measureCoordinatorTable (meter: IMeter, seed: number): Cost[] {
   const fleet = new Fleet({ seed, zones: ZONES, nodesPerZone: 0 })
   const node = fleet.startNode('a-0', 'a')
   const entries = [
@@ -252,12 +252,12 @@
     ...Array.from({ length: 2_400 }, (_, index) => ({ name: `w-${index}`, role: VmRole.Engine, zone: ZONES[index % 6], address: `w${index}`, backend: 'm', state: VmState.Live }))
   ]
   const membership = node.kernel.resolve<IMembership>(IMembership)
-  const leads = node.kernel.resolve<ICoordinatorTable>(ICoordinatorTable)
+  const coordinatorTable = node.kernel.resolve<ICoordinatorTable>(ICoordinatorTable)
   const durations: number[] = []
   for (let round = 0; round < 7; round++) {
     const startedMs = meter.nowMs()
     membership.setVmList(entries)
-    leads.coordinatedWorkers('m')
+    coordinatorTable.coordinatedWorkers('m')
     durations.push(meter.nowMs() - startedMs)
   }
   durations.sort((left, right) => left - right)
@@ -266,7 +266,7 @@
 
 /** Folding a journal and the control stream. */
 function measureFolds (meter: IMeter): Cost[] {
-  const records = Array.from({ length: 500 }, (_, index) => createRecords(index, 20, 100)).flat()
+  const records = Array.from({ length: 500 }, (_, index) => createProgramRecords(index, 20, 100)).flat()
   const bytes = JSON.stringify(records).length
   const state = createJournalState()
   const startedMs = meter.nowMs()
--- a/packages/testing/src/common/checkers/checkFleet.ts
+++ b/packages/testing/src/common/checkers/checkFleet.ts
@@ -1,21 +1,23 @@
-/** Checks what the fleet itself shows: configuration, leaving workers, planned stops, engine memory. */
+/** Checks the state of the fleet after a run: configuration, leaving workers, planned stops, engine memory. */
 import type { Fleet } from '../host/fleet.js'
 import type { Violation } from './violation.js'
 
-/** Time within which an accepted configuration must be in force everywhere. */
-const IN_FORCE_WITHIN_MS = 11_000
-/** Time after the first sign within which a leaving worker gets no new work. */
-const LEAVING_WITHIN_MS = 2_000
+/** Time within which every node must activate an accepted configuration. */
+const MAX_ACTIVATION_MS = 11_000
+/** Time for which a worker may still get new work after the VM list has marked it as leaving. */
+const LEAVING_GRACE_MS = 2_000
 
+/** Events of a run that the checks of the fleet need. */
 export interface FleetEvidence {
-  /** Every time that a node put a revision in force. */
+  /** Every activation of a revision by a node. */
   inForce: Array<{ node: string, incarnation: string, revision: number, atMs: number }>
-  /** Changes that an operator was told are accepted. */
+  /** Configuration changes whose acceptance was reported to an operator. */
   accepted: Array<{ revision: number, baseRevision: number, atMs: number }>
-  /** Workers that leave, and the time at which the VM list says so. */
-  leaving: Array<{ worker: string, signAtMs: number }>
+  /** Workers that leave, and the time from which the VM list marks them as leaving. */
+  leaving: Array<{ worker: string, listedAtMs: number }>
 }
 
+/** Runs all checks of this file; an empty result means that no invariant was broken. */
 export function checkFleet (fleet: Fleet, evidence: FleetEvidence): Violation[] {
   return [
     ...checkRevisions(evidence),
@@ -26,19 +28,19 @@
   ]
 }
 
-/** What is in force at a run of a node never reverts. */
-export function checkRevisions ({ inForce }: FleetEvidence): Violation[] {
+/** The active revision of one incarnation of a node never decreases. */
+export function checkRevisions ({ inForce: activations }: FleetEvidence): Violation[] {
   const highest = new Map<string, number>()
-  return inForce.flatMap(({ node, incarnation, revision, atMs }) => {
-    const run = `${node}/${incarnation}`
-    const before = highest.get(run) ?? 0
-    highest.set(run, Math.max(before, revision))
-    return revision < before ? [{ rule: 'configuration never reverts', detail: `${run} went from revision ${before} to ${revision} at ${atMs}` }] : []
+  return activations.flatMap(({ node, incarnation, revision, atMs }) => {
+    const nodeRun = `${node}/${incarnation}`
+    const before = highest.get(nodeRun) ?? 0
+    highest.set(nodeRun, Math.max(before, revision))
+    return revision < before ? [{ rule: 'configuration never reverts', detail: `${nodeRun} went from revision ${before} to ${revision} at ${atMs}` }] : []
   })
 }
 
-/** Of racing changes at most one is accepted, and every live node has it at the end and in time. */
-export function checkAccepted (fleet: Fleet, { accepted, inForce }: FleetEvidence): Violation[] {
+/** Of concurrent changes of one revision at most one is accepted; at the end every live node has it, and undisturbed nodes activated it in time. */
+export function checkAccepted (fleet: Fleet, { accepted, inForce: activations }: FleetEvidence): Violation[] {
   const violations: Violation[] = []
   const bases = accepted.map(change => change.baseRevision)
   if (new Set(bases).size !== bases.length) violations.push({ rule: 'one change wins', detail: 'two changes of the same revision were accepted' })
@@ -46,43 +48,43 @@
     for (const node of fleet.liveNodes()) {
       const status = node.kernel.status()
       if (status.revision < change.revision) violations.push({ rule: 'configuration is in force', detail: `${node.identity.node} has revision ${status.revision}, but ${change.revision} was accepted` })
-      const first = inForce.find(entry => entry.node === node.identity.node && entry.incarnation === node.identity.incarnation && entry.revision >= change.revision)
+      const first = activations.find(entry => entry.node === node.identity.node && entry.incarnation === node.identity.incarnation && entry.revision >= change.revision)
       const fromMs = Math.max(change.atMs, node.startedAtMs)
-      const isLate = first !== undefined && first.atMs > fromMs + IN_FORCE_WITHIN_MS && wasUndisturbed(fleet, node.identity.node, fromMs)
+      const isLate = first !== undefined && first.atMs > fromMs + MAX_ACTIVATION_MS && isUndisturbed(fleet, node.identity.node, fromMs)
       if (isLate) violations.push({ rule: 'configuration is in force in time', detail: `${node.identity.node} had revision ${change.revision} only at ${first.atMs}, accepted at ${change.atMs}` })
     }
   }
   return violations
 }
 
-/** True for a node that could reach the log from the acceptance on until the time limit. */
-function wasUndisturbed (fleet: Fleet, node: string, fromMs: number): boolean {
+/** True when no recorded disturbance of the node, its zone or the log falls into the time limit that starts at `fromMs`. */
+function isUndisturbed (fleet: Fleet, node: string, fromMs: number): boolean {
   return !fleet.disturbances.some(({ machine, fromMs: start, untilMs }) => {
-    const isMeant = machine === node || machine === 'log' || machine === fleet.zoneOf(node)
-    return isMeant && start < fromMs + IN_FORCE_WITHIN_MS && untilMs > fromMs
+    const affectsNode = machine === node || machine === 'log' || machine === fleet.zoneOf(node)
+    return affectsNode && start < fromMs + MAX_ACTIVATION_MS && untilMs > fromMs
   })
 }
 
-/** A leaving worker gets no new work after the time limit. */
+/** A leaving worker gets no new work after `LEAVING_GRACE_MS`, unless a node was paused meanwhile. */
 export function checkLeaving (fleet: Fleet, { leaving }: FleetEvidence): Violation[] {
-  return leaving.flatMap(({ worker, signAtMs }) => {
+  return leaving.flatMap(({ worker, listedAtMs }) => {
     const lastStartMs = fleet.engines.get(worker)?.counters.lastStartMs ?? fleet.services.get(worker)?.lastStartMs ?? 0
-    const isLate = lastStartMs > signAtMs + LEAVING_WITHIN_MS && !isFleetDisturbed(fleet, signAtMs, lastStartMs)
-    return isLate ? [{ rule: 'leaving workers get no new work', detail: `${worker} got work at ${lastStartMs}, ${lastStartMs - signAtMs} ms after the list named it` }] : []
+    const isLate = lastStartMs > listedAtMs + LEAVING_GRACE_MS && !isFleetDisturbed(fleet, listedAtMs, lastStartMs)
+    return isLate ? [{ rule: 'leaving workers get no new work', detail: `${worker} got work at ${lastStartMs}, ${lastStartMs - listedAtMs} ms after the list named it` }] : []
   })
 }
 
-/** A paused node may send late what it had decided before. */
+/** True when a node was paused in that period: it may send calls late that it had decided on before. */
 function isFleetDisturbed (fleet: Fleet, fromMs: number, untilMs: number): boolean {
   return fleet.disturbances.some(disturbance => disturbance.kind === 'pause' && disturbance.fromMs < untilMs && disturbance.untilMs > fromMs)
 }
 
-/** A planned stop cuts off no request. */
+/** A node exits from a planned stop only when no request is open. */
 export function checkStops (fleet: Fleet): Violation[] {
   return fleet.cutOffByStop.map(({ node, requests }) => ({ rule: 'planned stops cut off nothing', detail: `${node} exited with ${requests} requests open` }))
 }
 
-/** No engine memory stays held for programs that are gone. */
+/** Engines hold memory only for programs that are open at a live node. */
 export function checkEngineMemory (fleet: Fleet): Violation[] {
   const open = new Set(fleet.liveNodes().flatMap(node => node.openPrograms()))
   return [...fleet.engines.values()].flatMap(engine => engine.heldSessions()
--- a/packages/testing/src/common/checkers/checkRun.ts
+++ b/packages/testing/src/common/checkers/checkRun.ts
@@ -1,14 +1,14 @@
-/** Checks what callers, services and engines saw of a run against the promises. */
+/** Checks what callers, services and engines observed of a run against the invariants of the system. */
 import type { Budget } from '@trefoilshunt/core'
 import { rebuildTurns } from '@trefoilshunt/core'
 import { expectedAnswer, type ModelEngine, type ToolDatabase } from '@trefoilshunt/standins'
 import type { ProgramObservation, RunRecord, StepObservation } from '../workload/runRecord.js'
 import type { Violation } from './violation.js'
 
-/** Reservations of calls in flight and of lost homes count as used, so a budget ends before its last token. */
-const TIGHT_FACTOR = 2
+/** Reserved tokens of calls in flight and of crashed program owners count as used, so a budget can be exhausted before its last token is generated. */
+const NEAR_BUDGET_FACTOR = 2
 
-/** Everything the checkers look at. */
+/** Everything that the checks of this file read. */
 export interface RunEvidence {
   record: RunRecord
   databases: ToolDatabase[]
@@ -17,7 +17,7 @@
   budgets: Map<string, Budget>
 }
 
-/** Applies every rule; an empty result means that nothing was broken. */
+/** Runs all checks of this file; an empty result means that no invariant was broken. */
 export function checkRun (evidence: RunEvidence): Violation[] {
   return [
     ...checkAtMostOnce(evidence),
@@ -34,18 +34,18 @@
   return databases.reduce((sum, database) => sum + (database.executions.get(checkId) ?? 0), 0)
 }
 
-function violation (rule: string, step: StepObservation, detail: string): Violation {
+function createStepViolation (rule: string, step: StepObservation, detail: string): Violation {
   return { rule, detail: `${step.programId} step ${step.step}: ${detail}` }
 }
 
-/** A request that must not be repeated runs at most once. */
+/** A non-repeatable request runs at most once. */
 export function checkAtMostOnce ({ record, databases }: RunEvidence): Violation[] {
   return record.steps
     .filter(step => !step.isRepeatable && executionsOf(databases, step.checkId) > 1)
-    .map(step => violation('runs at most once', step, `ran ${executionsOf(databases, step.checkId)} times`))
+    .map(step => createStepViolation('runs at most once', step, `ran ${executionsOf(databases, step.checkId)} times`))
 }
 
-/** "Not run" is true: nothing ran before the answer, and nothing ran after a final one. */
+/** A "not run" reply is true: the step did not run before the reply, and never ran if the reply was the last one. */
 export function checkNotRun ({ record, databases }: RunEvidence): Violation[] {
   const firstRunAtMs = new Map<string, number>()
   for (const { log } of databases) {
@@ -54,52 +54,52 @@
   return record.steps.filter(step => step.checkId !== '').flatMap(step => {
     const ranAtMs = firstRunAtMs.get(step.checkId)
     if (ranAtMs === undefined) return []
-    const liar = step.attempts.find((attempt, index) => {
+    const falseReply = step.attempts.find((attempt, index) => {
       if (attempt.reply?.type !== 'notRun') return false
       const isLast = index === step.attempts.length - 1
       return isLast || ranAtMs < attempt.endedAtMs
     })
-    return liar === undefined ? [] : [violation('"not run" is true', step, `ran at ${ranAtMs}, but "not run" was answered at ${liar.endedAtMs}`)]
+    return falseReply === undefined ? [] : [createStepViolation('"not run" is true', step, `ran at ${ranAtMs}, but "not run" was answered at ${falseReply.endedAtMs}`)]
   })
 }
 
-/** A service call that is answered `done` did run. */
+/** A service call that has a result did run. */
 export function checkDone ({ record, databases }: RunEvidence): Violation[] {
   return record.steps
     .filter(step => step.checkId !== '' && step.result?.type === 'service' && executionsOf(databases, step.checkId) === 0)
-    .map(step => violation('done is true', step, 'was answered, but never ran'))
+    .map(step => createStepViolation('done is true', step, 'was answered, but never ran'))
 }
 
-/** Each caller gets the whole answer to its own request. */
+/** Each caller gets the complete answer to its own request. */
 export function checkWholeAnswers (evidence: RunEvidence): Violation[] {
-  const tight = tightTrees(evidence)
+  const treesNearBudget = findTreesNearBudget(evidence)
   return evidence.record.programs.flatMap(program => program.steps.flatMap(step => {
     const { result } = step
-    if (result?.type === 'model') return checkModelAnswer(step, result.text, result.completionTokens, tight.has(program.root ?? ''))
+    if (result?.type === 'model') return checkModelAnswer(step, result.text, result.completionTokens, treesNearBudget.has(program.root ?? ''))
     if (result?.type !== 'service') return []
     const { checkId } = result.body as { checkId?: string }
-    return checkId === step.checkId ? [] : [violation('own answer', step, `got the answer of ${checkId ?? 'another call'}`)]
+    return checkId === step.checkId ? [] : [createStepViolation('own answer', step, `got the answer of ${checkId ?? 'another call'}`)]
   }))
 }
 
-/** Trees whose budget may not cover what they ask for; near its end an answer may be shorter than asked. */
-function tightTrees ({ record, budgets }: RunEvidence): Set<string> {
-  const asked = new Map<string, number>()
+/** Roots of the program trees whose token budget may not cover what they request; an answer near the end of a budget may be shorter than requested. */
+function findTreesNearBudget ({ record, budgets }: RunEvidence): Set<string> {
+  const requestedByTree = new Map<string, number>()
   for (const program of record.programs) {
     const tokens = program.steps.reduce((sum, step) => sum + requestedTokens(step) + Math.ceil(step.prompt.length / 4), 0)
-    asked.set(program.root ?? '', (asked.get(program.root ?? '') ?? 0) + tokens)
+    requestedByTree.set(program.root ?? '', (requestedByTree.get(program.root ?? '') ?? 0) + tokens)
   }
-  const trees = record.programs.filter(program => (asked.get(program.root ?? '') ?? 0) * TIGHT_FACTOR > (budgets.get(program.kind)?.tokens ?? Infinity))
+  const trees = record.programs.filter(program => (requestedByTree.get(program.root ?? '') ?? 0) * NEAR_BUDGET_FACTOR > (budgets.get(program.kind)?.tokens ?? Infinity))
   return new Set(trees.map(program => program.root ?? ''))
 }
 
-function checkModelAnswer (step: StepObservation, text: string, tokens: number, isTight: boolean): Violation[] {
-  const asked = requestedTokens(step)
-  if (tokens > asked) return [violation('whole answer', step, `${tokens} tokens where ${asked} were allowed`)]
-  if (text !== expectedAnswer(step.prompt, tokens)) return [violation('whole answer', step, 'the text is not the answer to this prompt')]
-  if (tokens < asked && !isTight) return [violation('whole answer', step, `${tokens} of ${asked} tokens`)]
+function checkModelAnswer (step: StepObservation, text: string, tokens: number, isNearBudget: boolean): Violation[] {
+  const requested = requestedTokens(step)
+  if (tokens > requested) return [createStepViolation('whole answer', step, `${tokens} tokens where ${requested} were allowed`)]
+  if (text !== expectedAnswer(step.prompt, tokens)) return [createStepViolation('whole answer', step, 'the text is not the answer to this prompt')]
+  if (tokens < requested && !isNearBudget) return [createStepViolation('whole answer', step, `${tokens} of ${requested} tokens`)]
   const isStreamWrong = step.streamedText !== undefined && step.streamedText !== text
-  return isStreamWrong ? [violation('whole answer', step, 'the streamed text differs from the result')] : []
+  return isStreamWrong ? [createStepViolation('whole answer', step, 'the streamed text differs from the result')] : []
 }
 
 function requestedTokens (step: StepObservation): number {
@@ -107,7 +107,7 @@
   return request?.type === 'step' && request.call.type === 'model' ? request.call.maxTokens : 0
 }
 
-/** The calls of one program run in their stated order. */
+/** The service calls of one program run in the order of their step numbers, and its turns are numbered without gaps. */
 export function checkOrder ({ record, databases }: RunEvidence): Violation[] {
   const lastStep = new Map<string, number>()
   const violations: Violation[] = []
@@ -129,7 +129,7 @@
   return violations
 }
 
-/** A history is never lost or mixed: the digest that the fleet gave last is that of the caller's own turns. */
+/** A history is never lost or mixed with another: the last digest from the fleet matches the caller's own turns, and the fleet neither refused the caller's history nor lost the program. */
 export function checkHistories ({ record }: RunEvidence): Violation[] {
   return record.programs.flatMap(program => {
     if (program.programId === undefined || program.turns.length === 0) return []
@@ -137,8 +137,8 @@
     const digest = rebuilt[rebuilt.length - 1].historyDigest
     const violations: Violation[] = []
     if (digest !== program.historyDigest) violations.push({ rule: 'history is whole', detail: `${program.programId}: the fleet's digest is not that of the caller's history` })
-    const lost = program.steps.find(step => isHistoryRefusal(step))
-    if (lost !== undefined) violations.push(violation('history is whole', lost, 'the fleet refused the caller\'s history or lost the program'))
+    const refusedStep = program.steps.find(step => isHistoryRefusal(step))
+    if (refusedStep !== undefined) violations.push(createStepViolation('history is whole', refusedStep, 'the fleet refused the caller\'s history or lost the program'))
     return violations
   })
 }
@@ -149,7 +149,7 @@
   return error?.type === 'notRun' && (error.reason === 'historyMismatch' || error.reason === 'keyReused')
 }
 
-/** A tree of programs never exceeds its budget. */
+/** A program tree never exceeds its budget of tokens, steps and tool calls. */
 export function checkBudgets ({ record, databases, engines, budgets }: RunEvidence): Violation[] {
   const trees = new Map<string, ProgramObservation[]>()
   for (const program of record.programs) {
@@ -162,7 +162,7 @@
     const generated = ids.reduce((sum, id) => sum + engines.reduce((total, engine) => total + (engine.counters.generatedBySession.get(id) ?? 0), 0), 0)
     const steps = programs.reduce((sum, program) => sum + program.turns.length, 0)
     const toolCalls = programs.flatMap(program => program.steps).filter(step => step.checkId !== '' && executionsOf(databases, step.checkId) > 0).length
-    const over = (name: string, used: number, limit: number): Violation[] => used > limit ? [{ rule: 'budget', detail: `${root}: ${used} ${name} where ${limit} are allowed` }] : []
-    return [...over('tokens', generated, budget.tokens), ...over('steps', steps, budget.steps), ...over('tool calls', toolCalls, budget.toolCalls)]
+    const exceeded = (name: string, used: number, limit: number): Violation[] => used > limit ? [{ rule: 'budget', detail: `${root}: ${used} ${name} where ${limit} are allowed` }] : []
+    return [...exceeded('tokens', generated, budget.tokens), ...exceeded('steps', steps, budget.steps), ...exceeded('tool calls', toolCalls, budget.toolCalls)]
   })
 }
--- a/packages/testing/src/common/host/eventQueue.ts
+++ b/packages/testing/src/common/host/eventQueue.ts
@@ -7,24 +7,25 @@
   action: (() => void) | undefined
 }
 
-/** A binary heap of events; the clock is the time of the last one that ran. */
+/** A binary heap of events with its own clock, which stands at the time of the last event that ran. */
 export class EventQueue {
   private readonly _heap: QueuedEvent[] = []
   private _lastSequence = 0
   private _nowMs = 0
 
+  /** Virtual time in milliseconds, from 0. */
   nowMs (): number {
     return this._nowMs
   }
 
-  /** Runs `action` after `delayMs` of virtual time, unless disposed before. */
+  /** Runs `action` after `delayMs` of virtual time, unless disposed before; a negative delay counts as 0. */
   after (delayMs: number, action: () => void): IDisposable {
     const event: QueuedEvent = { atMs: this._nowMs + Math.max(0, delayMs), sequence: ++this._lastSequence, action }
     this._push(event)
     return toDisposable(() => { event.action = undefined })
   }
 
-  /** Runs the next event; false when there is none before `untilMs`. */
+  /** Runs the next event. False when none is due by `untilMs`; the clock then moves on to `untilMs`. */
   runNext (untilMs: number): boolean {
     const first = this._heap[0]
     if (first === undefined || first.atMs > untilMs) {
--- a/packages/testing/src/common/host/fleet.ts
+++ b/packages/testing/src/common/host/fleet.ts
@@ -1,8 +1,8 @@
-/** A fleet in virtual time: nodes, stand-ins and callers joined by links with delays. A test host, not a network model. */
+/** A fleet in virtual time: nodes, stand-ins and callers connected by links with delays. It is a test host, not a model of a network. */
 import { type CallerRequest, type CoreSettings, type Effect, IWorkerCoordinator, type LogFields, type NodeIdentity, SeededRandom, VmRole, VmState } from '@trefoilshunt/core'
 import type { ICallerTransport, IClientHost, SendOptions, TransportResult } from '@trefoilshunt/client'
 import { LogService, type LogServiceOptions, type ModelEngine, type ModelEngineOptions, type ToolDatabase, type ToolService, VmList } from '@trefoilshunt/standins'
-import { settlePromises } from '../../node/settlePromises.js'
+import { flushPromises } from '../../node/flushPromises.js'
 import type { ICallerWorld } from '../workload/programDriver.js'
 import { EventQueue } from './eventQueue.js'
 import { VirtualBackends } from './virtualBackends.js'
@@ -12,26 +12,30 @@
 
 const VM_POLL_MS = 1_000
 const LOG_LATENCY_MS = 2
-/** Time after which a message into a cut link counts as undeliverable. */
+/** Time after which a message over a cut link counts as undeliverable. */
 const CUT_TIMEOUT_MS = 1_000
-const HOME_ADDRESS_PORT = 7300
+const CALLER_PORT = 7300
 
 export interface FleetOptions {
+  /** Seed of all random numbers; the same options and seed give the same run. */
   seed: number
   zones: string[]
   nodesPerZone: number
   /** Environment that the nodes serve. */
   environment: string
-  /** One-way delay between zones, in milliseconds. */
+  /** One-way delay between zones; inside a zone it is a fifth of that. */
   zoneDelayMs: number
   /** One-way delay between callers and nodes. */
   callerDelayMs: number
+  /** Time until a change shows in the platform's VM list. */
   vmListLagMs: number
+  /** Overrides of the nodes' settings. */
   settings: Partial<CoreSettings>
+  /** Options of the stand-in of the log service. */
   log: Partial<LogServiceOptions>
-  /** Reads real time in milliseconds, to measure what kernels cost. */
+  /** Reads real time in milliseconds, to measure the time spent in kernels. */
   stopwatch?: () => number
-  /** Counts the bytes of messages between nodes. */
+  /** True to count the bytes of messages between nodes, which costs an encoding of each. */
   countsBytes?: boolean
   /** Called for every log line of a node. */
   onLog?: (node: string, event: string, fields: LogFields, atMs: number) => void
@@ -49,24 +53,27 @@
   log: {}
 }
 
-/** Counts of messages and bytes, by kind. */
+/** Counters over all nodes since the fleet was created. */
 export interface FleetCounters {
   peerMessages: number
-  /** Bytes of messages between nodes, when they are counted. */
+  /** Bytes of messages between nodes; 0 unless `countsBytes` is set. */
   peerBytes: number
   backendCalls: number
   logReads: number
+  /** Virtual events that have run. */
   events: number
 }
 
-/** A time in which a machine could not work or not be reached. */
+/** A period in which a machine was paused or could not be reached. */
 export interface Disturbance {
   kind: 'pause' | 'cut' | 'log'
+  /** Name of a node or worker, a zone, or `log`. */
   machine: string
   fromMs: number
   untilMs: number
 }
 
+/** Hosts the nodes, stand-ins and callers of one run and executes the nodes' effects in virtual time. */
 export class Fleet implements IEffectRunner, ICallerTransport {
   readonly options: FleetOptions
   readonly events = new EventQueue()
@@ -78,15 +85,16 @@
   readonly services: ReadonlyMap<string, ToolService>
   readonly databases: ReadonlyMap<string, ToolDatabase>
   readonly counters: FleetCounters = { peerMessages: 0, peerBytes: 0, backendCalls: 0, logReads: 0, events: 0 }
-  /** Requests that were open when a node ended a planned stop. */
+  /** Nodes that exited after a planned stop while requests were still open, with the count of these. */
   readonly cutOffByStop: Array<{ node: string, requests: number }> = []
-  /** Times at which a machine was paused or cut off, for checkers. */
+  /** Periods in which a machine was paused or cut off; the checkers read them. */
   readonly disturbances: Disturbance[] = []
   private readonly _links: VirtualLinks
   private readonly _backends: VirtualBackends
   private readonly _callers: VirtualCallers
   private readonly _clientRandom: SeededRandom
   private _lastIncarnation = 0
+  /** True when an event has resolved a promise of client code whose callbacks have not run yet. */
   private _hasClientWork = false
 
   constructor (options: Partial<FleetOptions> = {}) {
@@ -104,9 +112,9 @@
     this.databases = this._backends.databases
   }
 
-  // Building
+  // Construction
 
-  /** Starts the nodes of every zone. */
+  /** Starts the nodes of every zone and publishes the VM list without its lag. */
   startNodes (): void {
     for (const zone of this.options.zones) {
       for (let index = 1; index <= this.options.nodesPerZone; index++) this.startNode(`${zone}-${index}`, zone)
@@ -114,20 +122,20 @@
     this.vmList.publishNow()
   }
 
-  /** Starts, or starts anew, the daemon of one entry VM. */
+  /** Starts the daemon of one entry VM, with a new incarnation each time. */
   startNode (name: string, zone: string): VirtualNode {
     this._lastIncarnation++
     const identity: NodeIdentity = {
       node: name,
       incarnation: `a${String(this._lastIncarnation).padStart(5, '0')}`,
-      address: `${name}:${HOME_ADDRESS_PORT}`,
-      peerAddress: `${name}:${HOME_ADDRESS_PORT + 1}`,
+      address: `${name}:${CALLER_PORT}`,
+      peerAddress: `${name}:${CALLER_PORT + 1}`,
       zone,
       environment: this.options.environment
     }
     const node = new VirtualNode({ identity, seed: this.random.nextInt(0x7fffffff), settings: this.options.settings, nowMs: () => this.events.nowMs(), runner: this, stopwatch: this.options.stopwatch })
     this.nodes.set(name, node)
-    this._links.place(name, zone)
+    this._links.setZone(name, zone)
     this.vmList.put({ name, role: VmRole.Entry, zone, address: identity.address, peerAddress: identity.peerAddress, state: VmState.Live })
     this.events.after(0, () => {
       node.handle({ type: 'vmListed', entries: this.vmList.read() })
@@ -137,15 +145,17 @@
     return node
   }
 
+  /** Adds `count` engines named `<model>-<index>`, spread over the zones. */
   addEngines (model: string, count: number, options: Partial<ModelEngineOptions> = {}): void {
     this._backends.addEngines(model, count, options)
   }
 
-  /** Workers of a pool; each begins with one of the pool's models. */
+  /** Adds the workers of a pool, named `<pool>-<index>`; each starts with one of the pool's models. */
   addPool (pool: string, models: string[], count: number, options: Partial<ModelEngineOptions> = {}): void {
     this._backends.addPool(pool, models, count, options)
   }
 
+  /** Adds `count` service workers named `<service>-<index>` that share one database. */
   addServices (service: string, count: number, options: { latencyMs?: number, checksIdempotencyKeys?: boolean } = {}): void {
     this._backends.addServices(service, count, options)
   }
@@ -158,32 +168,32 @@
     })
   }
 
-  // Running
+  // Execution
 
-  /** Runs until the given virtual time; client code runs between events. */
+  /** Runs all events up to the given virtual time; client code runs between them. */
   async runUntil (untilMs: number): Promise<void> {
-    while (this.events.runNext(untilMs)) await this._settleClients()
+    while (this.events.runNext(untilMs)) await this._runClientCode()
   }
 
-  private async _settleClients (): Promise<void> {
+  private async _runClientCode (): Promise<void> {
     this.counters.events++
     if (!this._hasClientWork) return
     this._hasClientWork = false
-    await settlePromises()
+    await flushPromises()
   }
 
-  /** Runs until a promise of client code settles, or the time is up. */
+  /** Runs until `work` settles or `untilMs` is reached. False when the time ran out first. */
   async runWhile (work: Promise<unknown>, untilMs: number): Promise<boolean> {
     const progress = { isDone: false }
     void work.finally(() => { progress.isDone = true })
-    await settlePromises()
+    await flushPromises()
     for (;;) {
       if (progress.isDone || !this.events.runNext(untilMs)) return progress.isDone
-      await this._settleClients()
+      await this._runClientCode()
     }
   }
 
-  /** Time and chance for client code in this fleet. */
+  /** Virtual clock, timers and random numbers for client code. */
   readonly clientHost: IClientHost = {
     nowMs: () => this.events.nowMs(),
     sleep: async ms => await new Promise<void>(resolve => {
@@ -195,7 +205,7 @@
     random: () => this._clientRandom.next()
   }
 
-  /** This fleet as callers reach it. */
+  /** How callers reach this fleet: clock, zones, node addresses and transport. */
   readonly callerWorld: ICallerWorld = {
     host: this.clientHost,
     zones: [],
@@ -205,12 +215,12 @@
 
   // Faults
 
-  /** Ends a node's process without warning. */
+  /** Ends a node's process without a planned stop. */
   killNode (name: string): void {
     this.nodes.get(name)?.kill()
   }
 
-  /** Breaks every caller's connection to a node, which learns of it. */
+  /** Breaks every connection to a node, also those of forwarding nodes; the node receives `callerGone` for each. */
   dropConnections (name: string): void {
     const node = this.nodes.get(name)
     if (node === undefined) return
@@ -227,27 +237,29 @@
     this._links.cut(left, right)
   }
 
+  /** Restores a link; the names must be those given to `cut`. */
   heal (left: string, right: string): void {
     this._links.heal(left, right)
   }
 
-  /** Notes a disturbance that begins now. */
-  noteDisturbance (kind: Disturbance['kind'], machines: string[], forMs: number): void {
+  /** Records for the checkers a disturbance that begins now and lasts `forMs`. */
+  recordDisturbance (kind: Disturbance['kind'], machines: string[], forMs: number): void {
     const fromMs = this.events.nowMs()
     for (const machine of machines) this.disturbances.push({ kind, machine, fromMs, untilMs: fromMs + forMs })
   }
 
+  /** Zone of a node or worker; empty for an unknown one. */
   zoneOf (machine: string): string {
     return this._links.zoneOf(machine)
   }
 
-  /** Steps that wait in the queues of all leads. */
+  /** Counts the steps that wait for a slot of an engine, over all coordinators. */
   waitingByRank (): { urgent: number, other: number } {
     const waiting = { urgent: 0, other: 0 }
     for (const node of this.liveNodes()) {
-      const leads = node.kernel.resolve<IWorkerCoordinator>(IWorkerCoordinator)
+      const coordinator = node.kernel.resolve<IWorkerCoordinator>(IWorkerCoordinator)
       for (const worker of this.engines.keys()) {
-        const queue = leads.queueOf(worker)
+        const queue = coordinator.queueOf(worker)
         if (queue === undefined) continue
         waiting.urgent += queue.waitingOf('urgent')
         waiting.other += queue.waitingOf('other')
@@ -256,12 +268,14 @@
     return waiting
   }
 
+  /** Nodes whose process is alive, also paused ones. */
   liveNodes (): VirtualNode[] {
     return [...this.nodes.values()].filter(node => node.isAlive)
   }
 
   // Effects of nodes
 
+  /** Executes one effect of a node. */
   run (node: VirtualNode, effect: Effect): void {
     switch (effect.type) {
       case 'setTimer': return this._setTimer(node, effect.timerId, effect.delayMs)
@@ -329,7 +343,7 @@
 
   // Callers
 
-  /** Sends a caller's request to a node by its address. */
+  /** Sends a caller's request to the node with this address; resolves with the reply or the failure and never rejects. */
   async send (address: string, request: CallerRequest, options: SendOptions): Promise<TransportResult> {
     return await new Promise(resolve => {
       const abort = this._callers.deliver(address, request, 0, this.options.callerDelayMs, options.timeoutMs, reply => {
--- a/packages/testing/src/common/host/virtualBackends.ts
+++ b/packages/testing/src/common/host/virtualBackends.ts
@@ -1,4 +1,4 @@
-/** The stand-ins of backend servers in virtual time. */
+/** Stand-ins of backend servers in virtual time, and the calls that nodes make to them. */
 import { type BackendEvent, type BackendRequest, type Effect, type IDisposable, toDisposable, transferMs, type VmEntry, VmRole, VmState } from '@trefoilshunt/core'
 import { createToolDatabase, ModelEngine, type ModelEngineOptions, type ToolDatabase, ToolService, type VmList } from '@trefoilshunt/standins'
 import type { EventQueue } from './eventQueue.js'
@@ -8,7 +8,7 @@
 const BACKEND_LATENCY_MS = 0.5
 const MAX_CALL_MS = 600_000
 
-/** Engines and services by name, and the calls that nodes make. */
+/** Holds engines, services and the services' databases by name, and executes the backend calls of nodes. */
 export class VirtualBackends {
   readonly engines = new Map<string, ModelEngine>()
   readonly services = new Map<string, ToolService>()
@@ -21,6 +21,7 @@
     private readonly _zones: string[]
   ) {}
 
+  /** Adds `count` engines named `<model>-<index>`, spread over the zones. */
   addEngines (model: string, count: number, options: Partial<ModelEngineOptions> = {}): void {
     const heldBefore = new Map<string, number>()
     for (let index = 1; index <= count; index++) {
@@ -30,7 +31,7 @@
     }
   }
 
-  /** Workers of a pool; each begins with one of the pool's models. */
+  /** Adds the workers of a pool, named `<pool>-<index>`; each starts with one of the pool's models. */
   addPool (pool: string, models: string[], count: number, options: Partial<ModelEngineOptions> = {}): void {
     for (let index = 1; index <= count; index++) {
       const name = `${pool}-${index}`
@@ -39,6 +40,7 @@
     }
   }
 
+  /** Adds `count` service workers named `<service>-<index>` that share one database. */
   addServices (service: string, count: number, options: { latencyMs?: number, checksIdempotencyKeys?: boolean } = {}): void {
     const database = createToolDatabase()
     this.databases.set(service, database)
@@ -51,12 +53,12 @@
 
   private _listBackend (name: string, backend: string, role: VmRole, index: number): void {
     const zone = this._zones[index % this._zones.length]
-    this._links.place(name, zone)
+    this._links.setZone(name, zone)
     const entry: VmEntry = { name, role, zone, address: name, backend, state: VmState.Live }
     this._vmList.put(entry)
   }
 
-  /** Carries a call out; the node gets its events. */
+  /** Executes a call. The node receives its events; a call that is over or disposed sends none. */
   call (node: VirtualNode, effect: Extract<Effect, { type: 'callBackend' }>): void {
     const { callId, worker, request, timeoutMs } = effect
     let call: IDisposable | undefined
@@ -114,7 +116,7 @@
     return undefined
   }
 
-  /** Copies a program's cache between engines; it takes time in proportion to its size. */
+  /** Copies a session's cache between engines; the duration depends on its size in tokens. */
   private _transfer (target: ModelEngine, session: string, from: string, listener: (event: BackendEvent) => void): void {
     const source = this.engines.get(from)
     const tokens = source === undefined || source.isDown ? 0 : source.exportCache(session)
--- a/packages/testing/src/common/host/virtualLinks.ts
+++ b/packages/testing/src/common/host/virtualLinks.ts
@@ -1,6 +1,6 @@
-/** Links between machines in virtual time: a delay each, and cuts. */
+/** Network links between machines in virtual time: delays and cuts. */
 
-/** Names where machines are and which of them cannot reach each other. */
+/** Holds the zone of each machine and which machines or zones cannot reach each other. */
 export class VirtualLinks {
   private readonly _zones = new Map<string, string>()
   private readonly _cuts = new Set<string>()
@@ -8,7 +8,8 @@
   /** @param _zoneDelayMs one-way delay between zones; inside a zone it is a fifth of that. */
   constructor (private readonly _zoneDelayMs: number) {}
 
-  place (machine: string, zone: string): void {
+  /** Puts a machine into a zone; a machine without one is in the zone ''. */
+  setZone (machine: string, zone: string): void {
     this._zones.set(machine, zone)
   }
 
@@ -21,14 +22,16 @@
     this._cuts.add(linkKey(left, right))
   }
 
+  /** Restores a link; the names must be those given to `cut`. */
   heal (left: string, right: string): void {
     this._cuts.delete(linkKey(left, right))
   }
 
+  /** True when the link between the machines, between their zones, or between one machine and the other's zone is cut. */
   isCut (left: string, right: string): boolean {
     if (this._cuts.size === 0) return false
-    const ends = (machine: string) => [machine, this.zoneOf(machine)]
-    return ends(left).some(first => ends(right).some(second => this._cuts.has(linkKey(first, second))))
+    const namesOf = (machine: string) => [machine, this.zoneOf(machine)]
+    return namesOf(left).some(first => namesOf(right).some(second => this._cuts.has(linkKey(first, second))))
   }
 
   /** One-way delay in milliseconds. */
--- a/packages/testing/src/common/host/virtualNode.ts
+++ b/packages/testing/src/common/host/virtualNode.ts
@@ -1,7 +1,7 @@
-/** One node in virtual time: a kernel whose effects are carried out by the fleet. */
+/** One node in virtual time: a kernel whose effects the fleet executes. */
 import { type Effect, type IDisposable, type InputEvent, Kernel, type NodeIdentity, type CoreSettings, IProgramTable } from '@trefoilshunt/core'
 
-/** Carries out the effects of a node. */
+/** Executes the effects of a node. */
 export interface IEffectRunner {
   run (node: VirtualNode, effect: Effect): void
 }
@@ -12,24 +12,26 @@
   settings: Partial<CoreSettings>
   nowMs: () => number
   runner: IEffectRunner
-  /** Reads real time in milliseconds, to measure what the kernel costs. */
+  /** Reads real time in milliseconds, to measure the time spent in the kernel. */
   stopwatch?: () => number
 }
 
+/** A node's process: its kernel, timers, backend calls and connections. */
 export class VirtualNode {
   readonly identity: NodeIdentity
   readonly kernel: Kernel
+  /** Timers by timer ID. */
   readonly timers = new Map<number, IDisposable>()
-  /** Calls of back ends that this node has open. */
+  /** Backend calls in flight, by call ID; disposing one abandons it. */
   readonly calls = new Map<number, IDisposable>()
-  /** Ends of callers' connections to this node, called when it dies. */
+  /** Functions that break the open connections of callers and forwarding nodes, by request ID. */
   readonly connections = new Map<string, () => void>()
   readonly startedAtMs: number
   isAlive = true
   isPaused = false
-  /** Real time spent in the kernel so far, if there is a stopwatch. */
+  /** Real milliseconds spent in the kernel so far; 0 without a stopwatch. */
   kernelMs = 0
-  /** True when the node has ended by itself after a planned stop. */
+  /** True when the node has exited by itself after a planned stop. */
   hasExited = false
   private _buffered: InputEvent[] = []
   private readonly _options: VirtualNodeOptions
@@ -41,7 +43,7 @@
     this.kernel = new Kernel({ identity: options.identity, seed: options.seed, settings: options.settings })
   }
 
-  /** Hands an event to the kernel; a paused node gets it when it wakes, a dead one never. */
+  /** Passes an event to the kernel. A paused node buffers it until `resume`, a node that is not alive drops it. */
   handle (event: InputEvent): void {
     if (!this.isAlive) return
     if (this.isPaused) {
@@ -54,16 +56,18 @@
     for (const effect of effects) this._options.runner.run(this, effect)
   }
 
-  /** Open programs whose home is this node. */
+  /** IDs of the open programs that this node owns. */
   openPrograms (): string[] {
     const table = this.kernel.resolve<IProgramTable>(IProgramTable)
     return [...table.all()].filter(program => program.closedAtMs === undefined).map(program => program.state.programId)
   }
 
+  /** Stops the handling of events, as a frozen process would. */
   pause (): void {
     this.isPaused = true
   }
 
+  /** Handles the events that arrived during the pause, in their order. */
   resume (): void {
     this.isPaused = false
     const buffered = this._buffered
@@ -71,7 +75,7 @@
     for (const event of buffered) this.handle(event)
   }
 
-  /** Ends the process at once: no effect follows, connections break. */
+  /** Ends the process at once: timers and calls end, connections break, and later events are dropped. */
   kill (): void {
     this.isAlive = false
     for (const timer of this.timers.values()) timer.dispose()
--- a/packages/testing/src/common/scenario/faults.ts
+++ b/packages/testing/src/common/scenario/faults.ts
@@ -32,18 +32,18 @@
     case 'pauseNode': {
       const node = fleet.nodes.get(fault.node)
       node?.pause()
-      fleet.noteDisturbance('pause', [fault.node], fault.forMs)
+      fleet.recordDisturbance('pause', [fault.node], fault.forMs)
       await sleep(fault.forMs)
       node?.resume()
       return
     }
     case 'dropConnections': return fleet.dropConnections(fault.node)
-    case 'cut': return await cutFor(context, [fault.between], fault.forMs)
-    case 'loseZone': return await cutFor(context, [...otherZones(fleet, fault.zone), 'log'].map(other => [fault.zone, other]), fault.forMs)
+    case 'cut': return await cutLinks(context, [fault.between], fault.forMs)
+    case 'loseZone': return await cutLinks(context, [...otherZones(fleet, fault.zone), 'log'].map(other => [fault.zone, other]), fault.forMs)
     case 'powerOffZone': return await powerOffZone(context, fault.zone, fault.forMs)
     case 'logDown':
       fleet.log.setDown(true)
-      fleet.noteDisturbance('log', ['log'], fault.forMs)
+      fleet.recordDisturbance('log', ['log'], fault.forMs)
       await sleep(fault.forMs)
       fleet.log.setDown(false)
       return
@@ -92,9 +92,9 @@
   return fleet.options.zones.filter(other => other !== zone)
 }
 
-async function cutFor ({ fleet }: FaultContext, links: string[][], forMs: number): Promise<void> {
+async function cutLinks ({ fleet }: FaultContext, links: string[][], forMs: number): Promise<void> {
   for (const [left, right] of links) fleet.cut(left, right)
-  fleet.noteDisturbance('cut', links.flat(), forMs)
+  fleet.recordDisturbance('cut', links.flat(), forMs)
   await fleet.clientHost.sleep(forMs)
   for (const [left, right] of links) fleet.heal(left, right)
 }
@@ -119,8 +119,8 @@
 /** The list says that the worker leaves; the worker itself says nothing and goes on taking work. */
 function leaveWorker ({ fleet, evidence }: FaultContext, worker: string): void {
   fleet.vmList.setLeaving(worker)
-  const signAtMs = fleet.events.nowMs() + fleet.options.vmListLagMs
-  evidence.leaving.push({ worker, signAtMs })
+  const listedAtMs = fleet.events.nowMs() + fleet.options.vmListLagMs
+  evidence.leaving.push({ worker, listedAtMs })
   void fleet.clientHost.sleep(REMOVE_AFTER_LEAVING_MS).then(() => {
     fleet.vmList.remove(worker)
     fleet.engines.get(worker)?.crash()
@@ -130,8 +130,8 @@
 
 async function raceOperators ({ fleet, evidence, document }: FaultContext, operators: number): Promise<void> {
   const nodes = fleet.liveNodes().filter(node => !node.isPaused)
-  const view = nodes[0].kernel.status()
-  const baseRevision = view.revision
+  const nodeStatus = nodes[0].kernel.status()
+  const baseRevision = nodeStatus.revision
   const races = Array.from({ length: operators }, async (_, index) => {
     const node = nodes[index % nodes.length]
     const edited = { ...document, abandonGraceMs: document.abandonGraceMs + index + 1 }
--- a/packages/testing/src/common/scenario/scenarioRunner.ts
+++ b/packages/testing/src/common/scenario/scenarioRunner.ts
@@ -59,11 +59,11 @@
   options.onWillStart?.(fleet)
   fleet.startNodes()
   await fleet.runUntil(WARM_UP_MS)
-  const accepted = await putInForce(fleet, document)
+  const accepted = await applyDocument(fleet, document)
   const record = new RunRecord()
   const violations: Violation[] = accepted ? [] : [{ rule: 'scenario', detail: 'the document was not accepted' }]
   const driver = createDriver(fleet, record, document)
-  const work = startWork(scenario, fleet, driver, document, evidence)
+  const work = runWorkload(scenario, fleet, driver, document, evidence)
   const isDone = await fleet.runWhile(work, MAX_RUN_MS)
   if (!isDone) violations.push({ rule: 'comes to an end', detail: 'callers still waited at the end of the run' })
   await fleet.runUntil(fleet.events.nowMs() + QUIET_MS)
@@ -101,7 +101,7 @@
   return fleet
 }
 
-async function putInForce (fleet: Fleet, document: ConfigurationDocument): Promise<boolean> {
+async function applyDocument (fleet: Fleet, document: ConfigurationDocument): Promise<boolean> {
   const address = [...fleet.nodes.values()][0].identity.address
   const applied = fleet.send(address, { type: 'apply', environment: 'production', baseRevision: 0, document, by: 'operator' }, { timeoutMs: APPLY_TIMEOUT_MS })
   await fleet.runWhile(applied, fleet.events.nowMs() + APPLY_TIMEOUT_MS)
@@ -116,7 +116,7 @@
 }
 
 /** Lets programs arrive and faults strike; ends with the last program. */
-async function startWork (scenario: Scenario, fleet: Fleet, driver: ProgramDriver, document: ConfigurationDocument, evidence: FleetEvidence): Promise<void> {
+async function runWorkload (scenario: Scenario, fleet: Fleet, driver: ProgramDriver, document: ConfigurationDocument, evidence: FleetEvidence): Promise<void> {
   const random = new SeededRandom(scenario.seed + 17)
   const runs: Array<Promise<unknown>> = []
   const context: FaultContext = {
@@ -163,10 +163,10 @@
 
 function checkExpectations (scenario: Scenario, counts: ScenarioCounts, record: RunRecord): Violation[] {
   const { minFinishedShare, maxUnknown, maxWorkerCrashes } = scenario.expect
-  const staying = record.programs.filter(program => !program.hasVanished && !program.isHopeless)
-  const finished = staying.filter(program => program.isFinished).length
+  const expectedPrograms = record.programs.filter(program => !program.hasVanished && !program.isHopeless)
+  const finished = expectedPrograms.filter(program => program.isFinished).length
   const violations: Violation[] = []
-  if (finished < minFinishedShare * staying.length) violations.push({ rule: 'expected share finishes', detail: `${finished} of ${staying.length} programs finished` })
+  if (finished < minFinishedShare * expectedPrograms.length) violations.push({ rule: 'expected share finishes', detail: `${finished} of ${expectedPrograms.length} programs finished` })
   if (maxUnknown !== undefined && counts.unknownSteps > maxUnknown) violations.push({ rule: 'expected unknown', detail: `${counts.unknownSteps} steps are unknown` })
   if (maxWorkerCrashes !== undefined && counts.workerCrashes > maxWorkerCrashes) violations.push({ rule: 'expected crashes', detail: `${counts.workerCrashes} crashes of workers` })
   return violations
--- a/packages/testing/src/common/scenario/search.ts
+++ b/packages/testing/src/common/scenario/search.ts
@@ -31,18 +31,18 @@
 export async function searchSchedules (options: SearchOptions): Promise<SearchResult> {
   const totals: ScenarioCounts = { programs: 0, finished: 0, refused: 0, steps: 0, nonRepeatableSteps: 0, unknownSteps: 0, faults: 0, workerCrashes: 0, virtualMs: 0 }
   let runs = 0
-  let last: ScenarioResult | undefined
+  let lastFailure: ScenarioResult | undefined
   const property = fc.asyncProperty(scenarioArbitrary(), async scenario => {
     options.onScenario?.(scenario)
     const result = await runScenario(scenario, options)
     runs++
     addCounts(totals, result.counts)
     options.onRun?.(result)
-    if (result.violations.length > 0) last = result
+    if (result.violations.length > 0) lastFailure = result
     return result.violations.length === 0
   })
   const outcome = await fc.check(property, { seed: options.seed, numRuns: options.runs, endOnFailure: false })
-  const found = outcome.failed && last !== undefined ? { scenario: last.scenario, violations: last.violations } : undefined
+  const found = outcome.failed && lastFailure !== undefined ? { scenario: lastFailure.scenario, violations: lastFailure.violations } : undefined
   return { runs, seed: options.seed, totals, counterexample: found }
 }
 
@@ -66,7 +66,7 @@
     budget,
     log: { hidesOffsets, appendsPerSecond, retentionMs },
     workload: { programs: 8, meanArrivalMs: 2_000, vanishingShare },
-    faults: faults.map(fault => renameWorkers(fault, firm))
+    faults: faults.map(fault => resolveWorkerNames(fault, firm))
   }))
 }
 
@@ -103,7 +103,7 @@
 }
 
 /** Puts the firm's names in place of `engine-N` and `tool-N`. */
-function renameWorkers (fault: Fault, firm: Scenario['firm']): Fault {
+function resolveWorkerNames (fault: Fault, firm: Scenario['firm']): Fault {
   if (!('worker' in fault)) return fault
   const [engine, tool] = firm === 'harrow' ? ['tailor-models', 'shop-ledger'] : ['braid-models', 'workshop-app']
   return { ...fault, worker: fault.worker.replace(/^engine/, engine).replace(/^tool/, tool) }
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -1,4 +1,4 @@
-/** Test host, scenario language, history checkers and experiments. */
+/** Virtual-time test host, scenario language, checkers of run histories, experiments and capacity measurements. */
 export * from './common/host/eventQueue.js'
 export * from './common/host/fleet.js'
 export * from './common/host/virtualNode.js'
--- a/packages/testing/test/common/checkers/brokenParts.test.ts
+++ b/packages/testing/test/common/checkers/brokenParts.test.ts
@@ -14,10 +14,10 @@
 import { StepEnding } from '../../../../core/src/common/programs/stepEnding.js'
 
 /** Puts a broken method in place for the time of one action. */
-async function withBroken<T> (prototype: object, name: string, broken: (original: (...args: never[]) => unknown) => unknown, action: () => Promise<T>): Promise<T> {
+async function withReplacedMethod<T> (prototype: object, name: string, createReplacement: (original: (...args: never[]) => unknown) => unknown, action: () => Promise<T>): Promise<T> {
   const methods = prototype as Record<string, (...args: never[]) => unknown>
   const original = methods[name]
-  methods[name] = broken(original) as (...args: never[]) => unknown
+  methods[name] = createReplacement(original) as (...args: never[]) => unknown
   try {
     return await action()
   } finally {
@@ -25,23 +25,23 @@
   }
 }
 
-function scenario (faults: Fault[], seed: number, more: Partial<Scenario> = {}): Scenario {
-  return scenarioSchema.parse({ name: 'broken', seed, faults, workload: { programs: 10, meanArrivalMs: 1_000 }, ...more })
+function createScenario (faults: Fault[], seed: number, overrides: Partial<Scenario> = {}): Scenario {
+  return scenarioSchema.parse({ name: 'broken', seed, faults, workload: { programs: 10, meanArrivalMs: 1_000 }, ...overrides })
 }
 
 /** True when some seed shows a violation of the rule. */
-async function isCaught (rule: string, faults: (seed: number) => Fault[], options: ScenarioOptions = {}, more: Partial<Scenario> = {}): Promise<boolean> {
+async function isDetected (rule: string, faults: (seed: number) => Fault[], options: ScenarioOptions = {}, overrides: Partial<Scenario> = {}): Promise<boolean> {
   for (let seed = 1; seed <= 25; seed++) {
-    const { violations } = await runScenario(scenario(faults(seed), seed, more), options)
+    const { violations } = await runScenario(createScenario(faults(seed), seed, overrides), options)
     if (violations.some(violation => violation.rule === rule)) return true
   }
   return false
 }
 
 /** The same faults break nothing when every part is whole. */
-async function isClean (faults: (seed: number) => Fault[], options: ScenarioOptions = {}, more: Partial<Scenario> = {}): Promise<boolean> {
+async function hasNoViolations (faults: (seed: number) => Fault[], options: ScenarioOptions = {}, overrides: Partial<Scenario> = {}): Promise<boolean> {
   for (let seed = 1; seed <= 5; seed++) {
-    const { violations } = await runScenario(scenario(faults(seed), seed, more), options)
+    const { violations } = await runScenario(createScenario(faults(seed), seed, overrides), options)
     if (violations.length > 0) return false
   }
   return true
@@ -50,12 +50,12 @@
 /** Calls that take long enough for a node to die in the middle. */
 const SLOW_TOOLS = { toolLatencyMs: 3_000 }
 
-const kills = (seed: number): Fault[] => [3_000, 9_000, 15_000].map((atMs, index) => ({ type: 'killNode', atMs: atMs + seed * 97, node: ['regina-1', 'saskatoon-1', 'brandon-1'][index], restartAfterMs: 4_000 }))
+const createKills = (seed: number): Fault[] => [3_000, 9_000, 15_000].map((atMs, index) => ({ type: 'killNode', atMs: atMs + seed * 97, node: ['regina-1', 'saskatoon-1', 'brandon-1'][index], restartAfterMs: 4_000 }))
 
 test('a claim that is skipped is caught', async () => {
   const skip = () => function (this: { _dispatchService: (started: unknown, call: unknown) => void }, started: unknown, call: unknown) { this._dispatchService(started, call) }
-  assert.ok(await withBroken(ServiceSteps.prototype, '_recordIntent', skip, async () => await isCaught('runs at most once', kills, {}, SLOW_TOOLS)))
-  assert.ok(await isClean(kills, {}, SLOW_TOOLS))
+  assert.ok(await withReplacedMethod(ServiceSteps.prototype, '_recordIntent', skip, async () => await isDetected('runs at most once', createKills, {}, SLOW_TOOLS)))
+  assert.ok(await hasNoViolations(createKills, {}, SLOW_TOOLS))
 })
 
 test('a fence that is ignored is caught', async () => {
@@ -67,10 +67,10 @@
     ]
   })
   const ignore = () => function () {}
-  assert.ok(await withBroken(Journal.prototype, '_handleFenced', ignore, async () => await withBroken(JournalEpoch.prototype, '_setFenced', ignore, async () => {
-    return await isCaught('runs at most once', pauses, {}, SLOW_TOOLS) || await isCaught('history is whole', pauses)
+  assert.ok(await withReplacedMethod(Journal.prototype, '_handleFenced', ignore, async () => await withReplacedMethod(JournalEpoch.prototype, '_setFenced', ignore, async () => {
+    return await isDetected('runs at most once', pauses, {}, SLOW_TOOLS) || await isDetected('history is whole', pauses)
   })))
-  assert.ok(await isClean(pauses))
+  assert.ok(await hasNoViolations(pauses))
 })
 
 test('a configuration that reverts is caught', async () => {
@@ -79,27 +79,27 @@
     const newest = original.call(this)
     return newest !== undefined && newest.revision >= 3 ? { ...newest, revision: 1 } : newest
   }
-  assert.ok(await withBroken(Configuration.prototype, '_newestEnvironment', revert as never, async () => await isCaught('configuration never reverts', faults)))
-  assert.ok(await isClean(faults))
+  assert.ok(await withReplacedMethod(Configuration.prototype, '_newestEnvironment', revert as never, async () => await isDetected('configuration never reverts', faults)))
+  assert.ok(await hasNoViolations(faults))
 })
 
 test('a budget that sub-agents do not share is caught', async () => {
   const kinds = HARROW_DOCUMENT.workKinds.map(kind => ({ ...kind, budget: { ...kind.budget, toolCalls: 3 } }))
   const options = { document: { ...HARROW_DOCUMENT, workKinds: kinds, idleTimeoutMs: 60_000 } }
-  const alone = () => function (program: unknown) { return program }
-  assert.ok(await withBroken(ProgramTable.prototype, 'rootOf', alone, async () => await isCaught('budget', () => [], options)))
-  assert.ok(await isClean(() => [], options))
+  const returnProgram = () => function (program: unknown) { return program }
+  assert.ok(await withReplacedMethod(ProgramTable.prototype, 'rootOf', returnProgram, async () => await isDetected('budget', () => [], options)))
+  assert.ok(await hasNoViolations(() => [], options))
 })
 
 test('engine memory that is never released is caught', async () => {
-  assert.ok(await withBroken(EngineMemory.prototype, '_release', () => () => {}, async () => await isCaught('no memory for gone programs', () => [])))
+  assert.ok(await withReplacedMethod(EngineMemory.prototype, '_release', () => () => {}, async () => await isDetected('no memory for gone programs', () => [])))
 })
 
 test('a planned stop that does not wait is caught', async () => {
   const faults = (seed: number): Fault[] => [{ type: 'stopNode', atMs: 3_000 + seed * 50, node: 'regina-1', restartAfterMs: 2_000 }]
   const exit = () => function (this: { _effects: { emit: (effect: Effect) => void } }) { this._effects.emit({ type: 'exit' }) }
-  assert.ok(await withBroken(Drain.prototype, '_round', exit, async () => await isCaught('planned stops cut off nothing', faults)))
-  assert.ok(await isClean(faults))
+  assert.ok(await withReplacedMethod(Drain.prototype, '_round', exit, async () => await isDetected('planned stops cut off nothing', faults)))
+  assert.ok(await hasNoViolations(faults))
 })
 
 test('work for a leaving worker is caught', async () => {
@@ -107,52 +107,52 @@
   const ignore = (original: (entries: unknown) => void) => function (this: object, entries: Array<{ state: string }>) {
     original.call(this, entries.map(entry => ({ ...entry, state: VmState.Live })))
   }
-  assert.ok(await withBroken(Membership.prototype, 'setVmList', ignore as never, async () => await isCaught('leaving workers get no new work', faults)))
-  assert.ok(await isClean(faults))
+  assert.ok(await withReplacedMethod(Membership.prototype, 'setVmList', ignore as never, async () => await isDetected('leaving workers get no new work', faults)))
+  assert.ok(await hasNoViolations(faults))
 })
 
 test('an answer that goes to another caller is caught', async () => {
-  let held: { requestId: string, reply: unknown } | undefined
-  const cross = (original: (requestId: string, reply: unknown) => void) => function (this: object, requestId: string, reply: { type: string, result?: { type: string } }) {
+  let heldReply: { requestId: string, reply: unknown } | undefined
+  const swapReplies = (original: (requestId: string, reply: unknown) => void) => function (this: object, requestId: string, reply: { type: string, result?: { type: string } }) {
     const isModelAnswer = reply.type === 'done' && reply.result?.type === 'model'
     if (!isModelAnswer) {
       original.call(this, requestId, reply)
-    } else if (held === undefined) {
-      held = { requestId, reply }
+    } else if (heldReply === undefined) {
+      heldReply = { requestId, reply }
     } else {
-      original.call(this, requestId, held.reply)
-      original.call(this, held.requestId, reply)
-      held = undefined
+      original.call(this, requestId, heldReply.reply)
+      original.call(this, heldReply.requestId, reply)
+      heldReply = undefined
     }
   }
-  assert.ok(await withBroken(CallerPort.prototype, 'reply', cross as never, async () => await isCaught('whole answer', () => [], {}, { zones: ['regina'] })))
+  assert.ok(await withReplacedMethod(CallerPort.prototype, 'reply', swapReplies as never, async () => await isDetected('whole answer', () => [], {}, { zones: ['regina'] })))
 })
 
 test('an answer that is cut short is caught', async () => {
-  const cut = (original: (job: { maxTokens: number }) => unknown) => function (this: object, job: { maxTokens: number }) {
+  const halveTokens = (original: (job: { maxTokens: number }) => unknown) => function (this: object, job: { maxTokens: number }) {
     return original.call(this, { ...job, maxTokens: Math.ceil(job.maxTokens / 2) })
   }
-  assert.ok(await withBroken(ModelDispatch.prototype, 'run', cut as never, async () => await isCaught('whole answer', () => [])))
+  assert.ok(await withReplacedMethod(ModelDispatch.prototype, 'run', halveTokens as never, async () => await isDetected('whole answer', () => [])))
 })
 
 test('"not run" for work that ran is caught', async () => {
   const faults = (): Fault[] => [{ type: 'loseToolAnswers', atMs: 2_000, worker: 'shop-ledger-1', count: 10 }, { type: 'loseToolAnswers', atMs: 2_000, worker: 'shop-ledger-2', count: 10 }]
-  const lie = () => function (this: { _notRun: (started: unknown, reason: string, detail: string) => unknown }, started: unknown, reason: string, detail: string) {
+  const reportNotRun = () => function (this: { _notRun: (started: unknown, reason: string, detail: string) => unknown }, started: unknown, reason: string, detail: string) {
     return { type: 'notRun', reason: 'noBackend', detail }
   }
-  assert.ok(await withBroken(StepEnding.prototype, 'unknown', lie, async () => await isCaught('"not run" is true', faults)))
-  assert.ok(await isClean(faults))
+  assert.ok(await withReplacedMethod(StepEnding.prototype, 'unknown', reportNotRun, async () => await isDetected('"not run" is true', faults)))
+  assert.ok(await hasNoViolations(faults))
 })
 
 test('a history that is mixed with another program\'s is caught', async () => {
-  let held: string | undefined
-  const mix = (original: (...args: unknown[]) => { historyDigest?: string }) => function (this: object, ...args: unknown[]) {
+  let heldDigest: string | undefined
+  const swapDigests = (original: (...args: unknown[]) => { historyDigest?: string }) => function (this: object, ...args: unknown[]) {
     const answer = original.apply(this, args)
-    const other = held
-    held = answer.historyDigest
+    const other = heldDigest
+    heldDigest = answer.historyDigest
     return { ...answer, historyDigest: other ?? answer.historyDigest }
   }
-  assert.ok(await withBroken(StepEnding.prototype, 'toAnswer', mix as never, async () => await isCaught('history is whole', () => [])))
+  assert.ok(await withReplacedMethod(StepEnding.prototype, 'toAnswer', swapDigests as never, async () => await isDetected('history is whole', () => [])))
 })
 
 test.run()
--- a/packages/testing/test/common/pools.test.ts
+++ b/packages/testing/test/common/pools.test.ts
@@ -7,11 +7,11 @@
 const MODELS = ['cutter', 'stitcher']
 const POOL = 'atelier'
 const WORKERS = 6
-const LOAD_RATE = 2_000_000_000
+const LOAD_BYTES_PER_SECOND = 2_000_000_000
 const TARGETS = { fitting: { targetMs: 60_000, rank: 'urgent' } }
 const ORDER_LIFETIME_MS = 10_000
 
-interface SeenOrder { worker: string, order: LoadOrder, atMs: number }
+interface ObservedOrder { worker: string, order: LoadOrder, atMs: number }
 
 function createDocument (checksFencing: boolean): ConfigurationDocument {
   const engine = { ...HARROW_DOCUMENT.backends[0], checksFencing, orderLifetimeMs: ORDER_LIFETIME_MS, pool: POOL }
@@ -22,13 +22,13 @@
   }
 }
 
-async function startFleet (checksFencing: boolean): Promise<{ fleet: Fleet, orders: SeenOrder[] }> {
+async function startFleet (checksFencing: boolean): Promise<{ fleet: Fleet, orders: ObservedOrder[] }> {
   const fleet = new Fleet({ nodesPerZone: 1, seed: 4 })
-  const weights = new WeightStore(LOAD_RATE, fleet.events)
+  const weights = new WeightStore(LOAD_BYTES_PER_SECOND, fleet.events)
   fleet.addPool(POOL, MODELS, WORKERS, { checksFencing, weights })
   fleet.addServices('shop-ledger', 2)
   fleet.startNodes()
-  const orders: SeenOrder[] = []
+  const orders: ObservedOrder[] = []
   const run = fleet.run.bind(fleet)
   fleet.run = (node, effect) => {
     if (effect.type === 'callBackend' && effect.request.type === 'load') orders.push({ worker: effect.worker, order: effect.request, atMs: fleet.events.nowMs() })
@@ -53,24 +53,24 @@
   return record
 }
 
-function assignments (fleet: Fleet): Map<string, string> {
+function assignedModels (fleet: Fleet): Map<string, string> {
   const state = fleet.liveNodes()[0].kernel.resolve<IConfiguration>(IConfiguration).state
   return new Map(state.engineOrders.map(order => [order.worker, order.model]))
 }
 
-function cutters (fleet: Fleet): number {
+function countCutters (fleet: Fleet): number {
   return [...fleet.engines.values()].filter(engine => engine.model === 'cutter').length
 }
 
 test('workers of a pool move to the model in demand, a few at a time, and every program finishes', async () => {
   const { fleet, orders } = await startFleet(true)
-  const before = cutters(fleet)
-  const ordersAtRest = orders.length
+  const before = countCutters(fleet)
+  const ordersBefore = orders.length
   const record = await flood(fleet, 250, 300)
   assert.ok(record.programs.every(program => program.isFinished))
-  assert.ok(cutters(fleet) > before, `${before} workers of the model before, ${cutters(fleet)} after`)
-  assert.ok(orders.length - ordersAtRest <= WORKERS, `${orders.length - ordersAtRest} orders in the flood`)
-  for (const [worker, model] of assignments(fleet)) assert.is(fleet.engines.get(worker)?.model, model)
+  assert.ok(countCutters(fleet) > before, `${before} workers of the model before, ${countCutters(fleet)} after`)
+  assert.ok(orders.length - ordersBefore <= WORKERS, `${orders.length - ordersBefore} orders in the flood`)
+  for (const [worker, model] of assignedModels(fleet)) assert.is(fleet.engines.get(worker)?.model, model)
 })
 
 test('the fencing numbers of one worker only grow, and the log assigns what is loaded, through deaths of leads', async () => {
@@ -88,19 +88,19 @@
     assert.ok(order.fencingNumber >= (accepted.get(worker) ?? 0) || fleet.engines.get(worker)?.options.checksFencing === true)
     accepted.set(worker, Math.max(order.fencingNumber, accepted.get(worker) ?? 0))
   }
-  for (const [worker, model] of assignments(fleet)) assert.is(fleet.engines.get(worker)?.model, model)
+  for (const [worker, model] of assignedModels(fleet)) assert.is(fleet.engines.get(worker)?.model, model)
 })
 
 test('engines that ignore fencing numbers get an order only after older ones cannot arrive any more', async () => {
   const { fleet, orders } = await startFleet(false)
   await flood(fleet, 150, 300)
-  const claims = fleet.log.recordsOf('control').map(stored => stored.record as { id: string, type: string, worker?: string, atMs: number })
+  const controlRecords = fleet.log.recordsOf('control').map(stored => stored.record as { id: string, type: string, worker?: string, atMs: number })
   assert.ok(orders.length > 0)
   for (const { worker, order, atMs } of orders) {
-    const claim = claims[order.fencingNumber]
-    assert.is(claim.type, 'engineOrdered')
-    assert.is(claim.worker, worker)
-    assert.ok(atMs - claim.atMs >= ORDER_LIFETIME_MS, `${worker} was ordered ${atMs - claim.atMs} ms after its claim`)
+    const orderRecord = controlRecords[order.fencingNumber]
+    assert.is(orderRecord.type, 'engineOrdered')
+    assert.is(orderRecord.worker, worker)
+    assert.ok(atMs - orderRecord.atMs >= ORDER_LIFETIME_MS, `${worker} was ordered ${atMs - orderRecord.atMs} ms after its claim`)
   }
 })
 
