--- a/packages/testing/src/common/capacity/fit.ts
+++ b/packages/testing/src/common/capacity/fit.ts
@@ -1,18 +1,20 @@
-/** Least-squares lines through measured points. */
+/** Fits least-squares lines to measured points. */
 
+/** A measured value `y` at a size `x`. */
 export interface Point {
   x: number
   y: number
 }
 
+/** The fitted line `y = intercept + slope * x`. */
 export interface Line {
   intercept: number
   slope: number
-  /** Root mean square of the residuals, relative to the mean of the measured values. */
+  /** Root mean square of the residuals, relative to the mean of the measured values; 0 when that mean is 0. */
   residual: number
 }
 
-/** Fits `y = intercept + slope * x`. */
+/** Fits a line to at least one point; the slope is 0 when all points have the same `x`. */
 export function fitLine (points: Point[]): Line {
   const count = points.length
   const meanX = points.reduce((sum, point) => sum + point.x, 0) / count
@@ -25,7 +27,7 @@
   return { intercept, slope, residual: meanY === 0 ? 0 : Math.sqrt(squaredResiduals / count) / Math.abs(meanY) }
 }
 
-/** The fitted value at a point. */
+/** The line's value at `x`. */
 export function valueAt (line: Line, x: number): number {
   return line.intercept + line.slope * x
 }
--- a/packages/testing/src/common/capacity/slopes.ts
+++ b/packages/testing/src/common/capacity/slopes.ts
@@ -1,4 +1,4 @@
-/** Measures how a node's cost grows with nodes, workers, programs and steps. */
+/** Measures how the costs of a node grow with nodes, workers, programs and steps. */
 import { createJournalState, createControlState, foldControlRecord, foldJournalRecord, IMembership, ICoordinatorTable, type LogRecord, type ProgramState, SeededRandom, type StoredRecord, VmRole, VmState } from '@trefoilshunt/core'
 import { Fleet } from '../host/fleet.js'
 import { HARROW_DOCUMENT } from '../workload/documents.js'
@@ -15,29 +15,31 @@
 const ZONES = ['a', 'b', 'c', 'd', 'e', 'f']
 const TARGETS = { fitting: { targetMs: 60_000, rank: 'urgent' } }
 
-/** Real measurements that only the host of the experiment can make. */
+/** Measurements of the real process, which only the host of the experiment can make. */
 export interface IMeter {
   /** Real time in milliseconds. */
   nowMs (): number
-  /** Bytes of live objects after a full collection. */
+  /** Bytes of live objects after a full garbage collection. */
   heapBytes (): number
 }
 
+/** A fitted cost line with its points. */
 export interface Slope extends Line {
   name: string
-  /** What is varied. */
+  /** The quantity that is varied, the line's `x`. */
   per: string
   unit: string
   points: Point[]
 }
 
-/** One cost that does not grow with anything. */
+/** A single measured cost without a fitted line. */
 export interface Cost {
   name: string
   unit: string
   value: number
 }
 
+/** Results of all measurements. */
 export interface SlopeReport {
   slopes: Slope[]
   costs: Cost[]
@@ -58,6 +60,7 @@
   return { name, per, unit, points, ...fitLine(points) }
 }
 
+/** Costs of one node without programs, per second; `cpuShare` is the share of one core. */
 interface IdleNodeCost {
   messages: number
   bytes: number
@@ -66,7 +69,7 @@
   cpuShare: number
 }
 
-/** What one node of an idle fleet costs a second. */
+/** Runs a fleet without programs and averages its costs over the nodes. */
 async function measureIdleNode (meter: IMeter, seed: number, nodes: number, workers: number): Promise<IdleNodeCost> {
   const fleet = new Fleet({ seed, zones: ZONES, nodesPerZone: 0, stopwatch: () => meter.nowMs(), countsBytes: true })
   fleet.addEngines('tailor-models', workers)
@@ -104,6 +107,7 @@
   const bytes: Point[] = []
   const cpu: Point[] = []
   const reads: Point[] = []
+  // The result is discarded: this run only warms up the JIT compiler.
   await measureIdleNode(meter, seed, 6, 6)
   for (const nodes of [12, 24, 48, 96]) {
     const idle = await measureIdleNode(meter, seed, nodes, nodes)
@@ -134,7 +138,7 @@
   ]
 }
 
-/** Kernel time, log records and log bytes of steps, over rates of programs. */
+/** Kernel time, log appends and log bytes of steps, at several rates of programs. */
 async function measureSteps (meter: IMeter, seed: number): Promise<{ slopes: Slope[], costs: Cost[] }> {
   const cpu: Point[] = []
   const bytes: Point[] = []
@@ -173,7 +177,7 @@
   }
 }
 
-/** Memory of programs and of their histories. */
+/** Memory of program states and of their histories. */
 function measurePrograms (meter: IMeter): Slope[] {
   const byPrograms: Point[] = []
   const byTokens: Point[] = []
@@ -192,7 +196,7 @@
   return created === undefined ? 0 : after - before
 }
 
-/** Folds the journal of many programs, as a takeover does. */
+/** Folds the journal of `count` programs, as a takeover does, and returns the state. */
 function foldPrograms (count: number, turns: number, tokens: number): unknown {
   const state = createJournalState()
   let offset = 0
@@ -223,7 +227,7 @@
   }
   const records: LogRecord[] = [{ id: `o${index}`, type: 'programSnapshot', program } as LogRecord]
   for (let step = 1; step <= turns; step++) records.push(createTurnRecord(programId, index, step, tokens))
-  // A record read from the log shares nothing with another one.
+  // Records read from the log share no objects with each other, so the measured ones must not either.
   return JSON.parse(JSON.stringify(records)) as LogRecord[]
 }
 
@@ -243,7 +247,7 @@
   } as LogRecord
 }
 
-/** The lead table of the designed size, computed anew after a change of membership. */
+/** Median time to apply a new VM list and recompute the coordinator table at the design size. */
 function measureCoordinatorTable (meter: IMeter, seed: number): Cost[] {
   const fleet = new Fleet({ seed, zones: ZONES, nodesPerZone: 0 })
   const node = fleet.startNode('a-0', 'a')
@@ -264,7 +268,7 @@
   return [{ name: 'new VM list and lead table at 440 nodes and 2,400 workers', unit: 'ms', value: durations[3] }]
 }
 
-/** Folding a journal and the control stream. */
+/** Time to fold a journal and the control stream. */
 function measureFolds (meter: IMeter): Cost[] {
   const records = Array.from({ length: 500 }, (_, index) => createProgramRecords(index, 20, 100)).flat()
   const bytes = JSON.stringify(records).length
--- a/packages/testing/src/common/scenario/faults.ts
+++ b/packages/testing/src/common/scenario/faults.ts
@@ -1,4 +1,4 @@
-/** Carries out the faults of a scenario. */
+/** Applies the faults of a scenario to a fleet. */
 import type { ConfigurationDocument, IRandom } from '@trefoilshunt/core'
 import type { FleetEvidence } from '../checkers/checkFleet.js'
 import type { Fleet } from '../host/fleet.js'
@@ -6,8 +6,11 @@
 import type { Fault } from './scenario.js'
 
 const OPERATOR_TIMEOUT_MS = 15_000
+/** More steps than any work kind of the firms' documents allows. */
 const ENDLESS_STEPS = 200
+/** Time between two resends of a poison request; then the crashed engines restart. */
 const POISON_PAUSE_MS = 2_000
+/** Time after which a leaving worker ends and is removed from the VM list. */
 const REMOVE_AFTER_LEAVING_MS = 30_000
 
 /** What faults act on. */
@@ -16,11 +19,16 @@
   evidence: FleetEvidence
   document: ConfigurationDocument
   random: IRandom
+  /** Runs a program to its end. */
   run: (plan: ProgramPlan) => Promise<void>
+  /** Draws a program of a work kind of this rank. */
   createPlan: (rank: 'urgent' | 'other') => ProgramPlan
 }
 
-/** Strikes; ends when the fault is over. */
+/**
+ * Applies one fault. Resolves when the fault has been undone or the requests that it sends have ended; faults of connections, appends,
+ * service calls and leaving workers resolve at once.
+ */
 export async function applyFault (fault: Fault, context: FaultContext): Promise<void> {
   const { fleet } = context
   const sleep = async (ms: number) => await fleet.clientHost.sleep(ms)
@@ -68,6 +76,7 @@
   }
 }
 
+/** Starts a node's process again after `afterMs`; undefined removes its VM from the list instead. */
 async function restartNode ({ fleet }: FaultContext, name: string, afterMs: number | undefined): Promise<void> {
   if (afterMs === undefined) {
     fleet.vmList.remove(name)
@@ -116,7 +125,7 @@
   for (const node of nodes) fleet.startNode(node, zone)
 }
 
-/** The list says that the worker leaves; the worker itself says nothing and goes on taking work. */
+/** Only the VM list announces that the worker leaves; the worker itself still accepts work. */
 function leaveWorker ({ fleet, evidence }: FaultContext, worker: string): void {
   fleet.vmList.setLeaving(worker)
   const listedAtMs = fleet.events.nowMs() + fleet.options.vmListLagMs
--- a/packages/testing/src/common/scenario/scenarioRunner.ts
+++ b/packages/testing/src/common/scenario/scenarioRunner.ts
@@ -1,4 +1,4 @@
-/** Runs a scenario in virtual time and checks what was seen. */
+/** Runs a scenario in virtual time, then checks the invariants and the scenario's expectations. */
 import { type ConfigurationDocument, SeededRandom, type CoreSettings } from '@trefoilshunt/core'
 import { Fleet } from '../host/fleet.js'
 import { checkRun } from '../checkers/checkRun.js'
@@ -14,14 +14,14 @@
 
 const WARM_UP_MS = 5_000
 const APPLY_TIMEOUT_MS = 15_000
-/** Longest virtual time of a run. */
+/** Virtual time by which all programs and faults must have ended. */
 const MAX_RUN_MS = 900_000
-/** Time after the last program in which everything must come to rest. */
+/** Virtual time between the end of the workload and the checks, in which background work must complete. */
 const QUIET_MS = 120_000
 const IDLE_TIMEOUT_MS = 60_000
 const STEP_TIMEOUT_MS = 90_000
 
-/** Counts that reports print. */
+/** Counts that reports print; `unknownSteps` are non-repeatable, `workerCrashes` are of engines. */
 export interface ScenarioCounts {
   programs: number
   finished: number
@@ -34,6 +34,7 @@
   virtualMs: number
 }
 
+/** What a run gave: an empty list of violations means that it passed. */
 export interface ScenarioResult {
   scenario: Scenario
   counts: ScenarioCounts
@@ -41,17 +42,19 @@
   record: RunRecord
 }
 
+/** Overrides for tests, and callbacks. */
 export interface ScenarioOptions {
-  /** Overrides of the core's settings, for tests that break a part on purpose. */
+  /** Overrides of the core's settings. */
   settings?: Partial<CoreSettings>
-  /** Document in place of the firm's own. */
+  /** Configuration document to use instead of the firm's. */
   document?: ConfigurationDocument
   /** Called with the fleet before it starts. */
   onWillStart?: (fleet: Fleet) => void
+  /** Called with each log line of a node: virtual milliseconds, node, event and fields as JSON. */
   onLog?: (line: string) => void
 }
 
-/** Runs one scenario to its end. The same scenario gives the same result every time. */
+/** Runs one scenario to its end. The same scenario and options always give the same result. */
 export async function runScenario (scenario: Scenario, options: ScenarioOptions = {}): Promise<ScenarioResult> {
   const document = options.document ?? documentOf(scenario)
   const evidence: FleetEvidence = { inForce: [], accepted: [], leaving: [] }
@@ -115,7 +118,7 @@
   return new ProgramDriver({ world: fleet.callerWorld, record, targets, streamEvery: 2, stepTimeoutMs: STEP_TIMEOUT_MS, retriesOverload: true, openTimeoutMs: STEP_TIMEOUT_MS })
 }
 
-/** Lets programs arrive and faults strike; ends with the last program. */
+/** Starts programs and faults at their times; resolves when all of them have ended. */
 async function runWorkload (scenario: Scenario, fleet: Fleet, driver: ProgramDriver, document: ConfigurationDocument, evidence: FleetEvidence): Promise<void> {
   const random = new SeededRandom(scenario.seed + 17)
   const runs: Array<Promise<unknown>> = []
--- a/packages/testing/src/common/scenario/search.ts
+++ b/packages/testing/src/common/scenario/search.ts
@@ -1,4 +1,4 @@
-/** A seeded random search for fault schedules that break a promise. */
+/** A seeded random search for fault schedules that violate an invariant. */
 import fc from 'fast-check'
 import type { Violation } from '../checkers/violation.js'
 import { runScenario, type ScenarioCounts, type ScenarioOptions, type ScenarioResult } from './scenarioRunner.js'
@@ -9,6 +9,7 @@
 const FAULT_WINDOW_MS = 40_000
 const MAX_FAULTS = 6
 
+/** Seed and number of runs of a search, and callbacks. */
 export interface SearchOptions extends ScenarioOptions {
   runs: number
   seed: number
@@ -18,16 +19,18 @@
   onRun?: (result: ScenarioResult) => void
 }
 
+/** Result of a search. */
 export interface SearchResult {
+  /** Runs made, including those that shrink a counterexample. */
   runs: number
   seed: number
   /** Sums over all runs. */
   totals: ScenarioCounts
-  /** The smallest schedule found that breaks a promise. */
+  /** The smallest schedule found that violates an invariant; undefined when none does. */
   counterexample?: { scenario: Scenario, violations: Violation[] }
 }
 
-/** Draws schedules and runs them until one breaks a promise; that one is shrunk. */
+/** Draws and runs schedules until one violates an invariant; that one is then shrunk to a smaller one. */
 export async function searchSchedules (options: SearchOptions): Promise<SearchResult> {
   const totals: ScenarioCounts = { programs: 0, finished: 0, refused: 0, steps: 0, nonRepeatableSteps: 0, unknownSteps: 0, faults: 0, workerCrashes: 0, virtualMs: 0 }
   let runs = 0
@@ -46,7 +49,7 @@
   return { runs, seed: options.seed, totals, counterexample: found }
 }
 
-/** Any small fleet with any schedule of faults. */
+/** Draws scenarios with three nodes, eight programs and one to six faults. */
 export function scenarioArbitrary (): fc.Arbitrary<Scenario> {
   return fc.record({
     seed: fc.integer({ min: 1, max: 1_000_000 }),
@@ -102,7 +105,7 @@
   )
 }
 
-/** Puts the firm's names in place of `engine-N` and `tool-N`. */
+/** Replaces `engine-N` and `tool-N` with the names of the firm's workers. */
 function resolveWorkerNames (fault: Fault, firm: Scenario['firm']): Fault {
   if (!('worker' in fault)) return fault
   const [engine, tool] = firm === 'harrow' ? ['tailor-models', 'shop-ledger'] : ['braid-models', 'workshop-app']
--- a/packages/testing/test/common/cacheEvents.test.ts
+++ b/packages/testing/test/common/cacheEvents.test.ts
@@ -1,3 +1,4 @@
+/** Cache events of engines, which arrive late and incomplete, and what nodes conclude from an eviction. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { type EngineRequest, IProgramTable } from '@trefoilshunt/core'
@@ -8,7 +9,7 @@
   return { type: 'model', model: 'm', messages: [{ role: 'user', content: toPrompt('x', 5) }], maxTokens: 5, priority: 0, session, retainMs: 0 }
 }
 
-test('cache events come late, and some are missing', () => {
+test('an engine reports cache events with a lag and loses every third', () => {
   const events = new EventQueue()
   const engine = new ModelEngine({ name: 'e', model: 'm', eventLagMs: 500, eventLossEvery: 3 }, events)
   for (let index = 0; index < 6; index++) engine.call(createRequest(`p${index}`), () => {})
--- a/packages/testing/test/common/checkers/brokenParts.test.ts
+++ b/packages/testing/test/common/checkers/brokenParts.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the checkers: each test breaks one method of the core and expects the violation that this causes. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { type Effect, VmState } from '@trefoilshunt/core'
@@ -13,7 +14,7 @@
 import { ServiceSteps } from '../../../../core/src/common/programs/serviceSteps.js'
 import { StepEnding } from '../../../../core/src/common/programs/stepEnding.js'
 
-/** Puts a broken method in place for the time of one action. */
+/** Replaces a method while `action` runs. */
 async function withReplacedMethod<T> (prototype: object, name: string, createReplacement: (original: (...args: never[]) => unknown) => unknown, action: () => Promise<T>): Promise<T> {
   const methods = prototype as Record<string, (...args: never[]) => unknown>
   const original = methods[name]
@@ -29,7 +30,7 @@
   return scenarioSchema.parse({ name: 'broken', seed, faults, workload: { programs: 10, meanArrivalMs: 1_000 }, ...overrides })
 }
 
-/** True when some seed shows a violation of the rule. */
+/** True when a run with one of the seeds 1 to 25 violates the rule. */
 async function isDetected (rule: string, faults: (seed: number) => Fault[], options: ScenarioOptions = {}, overrides: Partial<Scenario> = {}): Promise<boolean> {
   for (let seed = 1; seed <= 25; seed++) {
     const { violations } = await runScenario(createScenario(faults(seed), seed, overrides), options)
@@ -38,7 +39,7 @@
   return false
 }
 
-/** The same faults break nothing when every part is whole. */
+/** True when runs with the seeds 1 to 5 violate nothing; shows that the faults alone do not cause a violation. */
 async function hasNoViolations (faults: (seed: number) => Fault[], options: ScenarioOptions = {}, overrides: Partial<Scenario> = {}): Promise<boolean> {
   for (let seed = 1; seed <= 5; seed++) {
     const { violations } = await runScenario(createScenario(faults(seed), seed, overrides), options)
@@ -47,18 +48,18 @@
   return true
 }
 
-/** Calls that take long enough for a node to die in the middle. */
+/** Service calls long enough for a node to crash during one. */
 const SLOW_TOOLS = { toolLatencyMs: 3_000 }
 
 const createKills = (seed: number): Fault[] => [3_000, 9_000, 15_000].map((atMs, index) => ({ type: 'killNode', atMs: atMs + seed * 97, node: ['regina-1', 'saskatoon-1', 'brandon-1'][index], restartAfterMs: 4_000 }))
 
-test('a claim that is skipped is caught', async () => {
+test('a skipped intent record is detected', async () => {
   const skip = () => function (this: { _dispatchService: (started: unknown, call: unknown) => void }, started: unknown, call: unknown) { this._dispatchService(started, call) }
   assert.ok(await withReplacedMethod(ServiceSteps.prototype, '_recordIntent', skip, async () => await isDetected('runs at most once', createKills, {}, SLOW_TOOLS)))
   assert.ok(await hasNoViolations(createKills, {}, SLOW_TOOLS))
 })
 
-test('a fence that is ignored is caught', async () => {
+test('an ignored fence is detected', async () => {
   const pauses = (seed: number): Fault[] => [4_000, 18_000].flatMap((atMs, index): Fault[] => {
     const node = ['regina-1', 'saskatoon-1'][index]
     return [
@@ -73,7 +74,7 @@
   assert.ok(await hasNoViolations(pauses))
 })
 
-test('a configuration that reverts is caught', async () => {
+test('a configuration that reverts to an older revision is detected', async () => {
   const faults = (): Fault[] => [{ type: 'raceOperators', atMs: 2_000, operators: 2 }, { type: 'raceOperators', atMs: 8_000, operators: 2 }]
   const revert = (original: () => { revision: number } | undefined) => function (this: object) {
     const newest = original.call(this)
@@ -83,7 +84,7 @@
   assert.ok(await hasNoViolations(faults))
 })
 
-test('a budget that sub-agents do not share is caught', async () => {
+test('a budget that sub-agents do not share is detected', async () => {
   const kinds = HARROW_DOCUMENT.workKinds.map(kind => ({ ...kind, budget: { ...kind.budget, toolCalls: 3 } }))
   const options = { document: { ...HARROW_DOCUMENT, workKinds: kinds, idleTimeoutMs: 60_000 } }
   const returnProgram = () => function (program: unknown) { return program }
@@ -91,18 +92,18 @@
   assert.ok(await hasNoViolations(() => [], options))
 })
 
-test('engine memory that is never released is caught', async () => {
+test('engine memory that is never released is detected', async () => {
   assert.ok(await withReplacedMethod(EngineMemory.prototype, '_release', () => () => {}, async () => await isDetected('no memory for gone programs', () => [])))
 })
 
-test('a planned stop that does not wait is caught', async () => {
+test('a planned stop that does not wait for open requests is detected', async () => {
   const faults = (seed: number): Fault[] => [{ type: 'stopNode', atMs: 3_000 + seed * 50, node: 'regina-1', restartAfterMs: 2_000 }]
   const exit = () => function (this: { _effects: { emit: (effect: Effect) => void } }) { this._effects.emit({ type: 'exit' }) }
   assert.ok(await withReplacedMethod(Drain.prototype, '_round', exit, async () => await isDetected('planned stops cut off nothing', faults)))
   assert.ok(await hasNoViolations(faults))
 })
 
-test('work for a leaving worker is caught', async () => {
+test('new work for a leaving worker is detected', async () => {
   const faults = (): Fault[] => [{ type: 'leaveWorker', atMs: 2_000, worker: 'tailor-models-1' }]
   const ignore = (original: (entries: unknown) => void) => function (this: object, entries: Array<{ state: string }>) {
     original.call(this, entries.map(entry => ({ ...entry, state: VmState.Live })))
@@ -111,7 +112,7 @@
   assert.ok(await hasNoViolations(faults))
 })
 
-test('an answer that goes to another caller is caught', async () => {
+test('an answer sent to another caller is detected', async () => {
   let heldReply: { requestId: string, reply: unknown } | undefined
   const swapReplies = (original: (requestId: string, reply: unknown) => void) => function (this: object, requestId: string, reply: { type: string, result?: { type: string } }) {
     const isModelAnswer = reply.type === 'done' && reply.result?.type === 'model'
@@ -128,14 +129,14 @@
   assert.ok(await withReplacedMethod(CallerPort.prototype, 'reply', swapReplies as never, async () => await isDetected('whole answer', () => [], {}, { zones: ['regina'] })))
 })
 
-test('an answer that is cut short is caught', async () => {
+test('a truncated answer is detected', async () => {
   const halveTokens = (original: (job: { maxTokens: number }) => unknown) => function (this: object, job: { maxTokens: number }) {
     return original.call(this, { ...job, maxTokens: Math.ceil(job.maxTokens / 2) })
   }
   assert.ok(await withReplacedMethod(ModelDispatch.prototype, 'run', halveTokens as never, async () => await isDetected('whole answer', () => [])))
 })
 
-test('"not run" for work that ran is caught', async () => {
+test('a "not run" reply for work that ran is detected', async () => {
   const faults = (): Fault[] => [{ type: 'loseToolAnswers', atMs: 2_000, worker: 'shop-ledger-1', count: 10 }, { type: 'loseToolAnswers', atMs: 2_000, worker: 'shop-ledger-2', count: 10 }]
   const reportNotRun = () => function (this: { _notRun: (started: unknown, reason: string, detail: string) => unknown }, started: unknown, reason: string, detail: string) {
     return { type: 'notRun', reason: 'noBackend', detail }
@@ -144,7 +145,7 @@
   assert.ok(await hasNoViolations(faults))
 })
 
-test('a history that is mixed with another program\'s is caught', async () => {
+test('a history digest of another program is detected', async () => {
   let heldDigest: string | undefined
   const swapDigests = (original: (...args: unknown[]) => { historyDigest?: string }) => function (this: object, ...args: unknown[]) {
     const answer = original.apply(this, args)
--- a/packages/testing/test/common/lifecycle.test.ts
+++ b/packages/testing/test/common/lifecycle.test.ts
@@ -1,3 +1,4 @@
+/** Start-up, abandoned calls, idle programs, budgets and address lists of a fleet in virtual time. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import type { CallerReply, CallerRequest, CoreSettings } from '@trefoilshunt/core'
@@ -59,7 +60,7 @@
   assert.ok(node.kernel.status().isReady)
 })
 
-test('a node with neither log nor peers says that nothing was run', async () => {
+test('a node with neither log nor peers refuses a program as not ready', async () => {
   const fleet = new Fleet({ nodesPerZone: 1, zones: ['regina'] })
   fleet.log.setDown(true)
   fleet.startNodes()
@@ -68,7 +69,7 @@
   assert.is(reply.type === 'notRun' && reply.reason, 'notReady')
 })
 
-test('a model call whose caller has left is cancelled after the grace time, and its tokens count', async () => {
+test('a model call whose caller has left is cancelled after the grace time, and its tokens count as spent', async () => {
   const fleet = await startFleet()
   const program = await openProgram(fleet)
   const tokens = 2_000
@@ -84,7 +85,7 @@
   assert.ok(view.type === 'programView' && view.spent.tokens >= tokens)
 })
 
-test('a caller that comes back within the grace time finds its call running', async () => {
+test('a caller that resends a step within the grace time gets the result of the call in flight', async () => {
   const fleet = await startFleet()
   const program = await openProgram(fleet)
   void fleet.send(`${program.owner}:7300`, createStepRequest(program, 200), { timeoutMs: 1_000 })
@@ -105,7 +106,7 @@
   assert.is(view.type === 'programView' && view.state, 'closed')
 })
 
-test('an idle program is recorded again before its records expire, and survives its home', async () => {
+test('an idle program is recorded again before its records expire, and survives a crash of its owner', async () => {
   const retentionMs = 100_000
   const settings: Partial<CoreSettings> = { logRetentionMs: retentionMs }
   const fleet = new Fleet({ nodesPerZone: 1, seed: 2, settings, log: { retentionMs } })
@@ -127,7 +128,7 @@
   assert.is(fleet.liveNodes()[0].kernel.status().revision, 1)
 })
 
-test('the budget of a program ends it with a typed refusal', async () => {
+test('a step beyond the step budget is refused as budgetExceeded', async () => {
   const fleet = await startFleet()
   const program = await openProgram(fleet)
   let digest = program.historyDigest
--- a/packages/testing/test/common/membership.test.ts
+++ b/packages/testing/test/common/membership.test.ts
@@ -1,3 +1,4 @@
+/** Number of messages that failure detection sends. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { Fleet } from '@trefoilshunt/testing'
@@ -5,10 +6,10 @@
 const RUN_MS = 30_000
 const SETTLED_MS = 10_000
 const PERIODS = (RUN_MS - SETTLED_MS) / 1_000
-/** Own probes and their answers, one extra check of each suspect, and as many for the probes of others. */
+/** A node's own probes and their replies, one more check of each suspect, and as many messages for the probes of others. */
 const MESSAGES_PER_NODE_AND_PERIOD = 24
 
-test('a cut between two zones causes no storm of probes', async () => {
+test('a cut between two zones does not multiply probe messages', async () => {
   const fleet = new Fleet({ nodesPerZone: 1 })
   fleet.startNodes()
   await fleet.runUntil(SETTLED_MS)
@@ -19,7 +20,7 @@
   assert.ok(perNode <= MESSAGES_PER_NODE_AND_PERIOD, `${perNode} messages a node and period`)
 })
 
-test('the cost of probes does not grow with the fleet', async () => {
+test('probe messages per node do not grow with the fleet', async () => {
   const perNode = async (nodesPerZone: number) => {
     const fleet = new Fleet({ nodesPerZone })
     fleet.startNodes()
--- a/packages/testing/test/common/pools.test.ts
+++ b/packages/testing/test/common/pools.test.ts
@@ -1,3 +1,4 @@
+/** Orders to the engines of a shared pool: which model each loads, and that an old order never replaces a newer one. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { type ConfigurationDocument, IConfiguration, type LoadOrder, SeededRandom } from '@trefoilshunt/core'
@@ -62,7 +63,7 @@
   return [...fleet.engines.values()].filter(engine => engine.model === 'cutter').length
 }
 
-test('workers of a pool move to the model in demand, a few at a time, and every program finishes', async () => {
+test('workers of a pool change to the model with queued calls, with no more orders than workers, and every program finishes', async () => {
   const { fleet, orders } = await startFleet(true)
   const before = countCutters(fleet)
   const ordersBefore = orders.length
@@ -73,7 +74,7 @@
   for (const [worker, model] of assignedModels(fleet)) assert.is(fleet.engines.get(worker)?.model, model)
 })
 
-test('the fencing numbers of one worker only grow, and the log assigns what is loaded, through deaths of leads', async () => {
+test('the fencing numbers of one worker only grow, and engines hold the models that the log assigns, when coordinators crash and pause', async () => {
   const { fleet, orders } = await startFleet(true)
   const work = flood(fleet, 150, 300)
   fleet.events.after(10_000, () => fleet.killNode('regina-1'))
@@ -91,7 +92,7 @@
   for (const [worker, model] of assignedModels(fleet)) assert.is(fleet.engines.get(worker)?.model, model)
 })
 
-test('engines that ignore fencing numbers get an order only after older ones cannot arrive any more', async () => {
+test('engines that ignore fencing numbers get an order only after older orders have expired', async () => {
   const { fleet, orders } = await startFleet(false)
   await flood(fleet, 150, 300)
   const controlRecords = fleet.log.recordsOf('control').map(stored => stored.record as { id: string, type: string, worker?: string, atMs: number })
@@ -100,7 +101,7 @@
     const orderRecord = controlRecords[order.fencingNumber]
     assert.is(orderRecord.type, 'engineOrdered')
     assert.is(orderRecord.worker, worker)
-    assert.ok(atMs - orderRecord.atMs >= ORDER_LIFETIME_MS, `${worker} was ordered ${atMs - orderRecord.atMs} ms after its claim`)
+    assert.ok(atMs - orderRecord.atMs >= ORDER_LIFETIME_MS, `${worker} was ordered ${atMs - orderRecord.atMs} ms after its control record`)
   }
 })
 
--- a/packages/testing/test/common/scenario/scenarios.test.ts
+++ b/packages/testing/test/common/scenario/scenarios.test.ts
@@ -1,3 +1,4 @@
+/** The sample scenarios, and a short search with a fixed seed. */
 import { readdirSync, readFileSync } from 'node:fs'
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
@@ -8,14 +9,14 @@
 const SEARCH_RUNS = 30
 
 for (const file of readdirSync(FOLDER).sort()) {
-  test(`the scenario ${file} holds`, async () => {
+  test(`the scenario ${file} passes`, async () => {
     const scenario = parseJsonc(file, readFileSync(`${FOLDER}/${file}`, 'utf8'), scenarioSchema).unsafeCoerce()
     const { violations } = await runScenario(scenario)
     assert.equal(violations, [])
   })
 }
 
-test('a fixed set of random fault schedules breaks nothing', async () => {
+test('random fault schedules of a fixed seed violate no invariant', async () => {
   const result = await searchSchedules({ runs: SEARCH_RUNS, seed: 20 })
   assert.equal(result.counterexample, undefined)
   assert.is(result.runs, SEARCH_RUNS)
--- a/packages/testing/test/common/steady.test.ts
+++ b/packages/testing/test/common/steady.test.ts
@@ -1,3 +1,4 @@
+/** A fleet without faults: programs finish, engine memory is released and runs are repeatable. */
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import { SeededRandom } from '@trefoilshunt/core'
@@ -27,14 +28,14 @@
   return { fleet, record }
 }
 
-test('a quiet fleet finishes every program and breaks no promise', async () => {
+test('a fleet without faults finishes every program and violates no invariant', async () => {
   const { fleet, record } = await runSteady(3)
   assert.ok(record.programs.every(program => program.isFinished && program.wasClosed))
   const budgets = new Map(HARROW_DOCUMENT.workKinds.map(kind => [kind.name, kind.budget]))
   assert.equal(checkRun({ record, databases: [...fleet.databases.values()], engines: [...fleet.engines.values()], budgets }), [])
 })
 
-test('closed programs leave nothing in the engines\' memory', async () => {
+test('engines hold no memory for closed programs', async () => {
   const { fleet } = await runSteady(4)
   assert.equal([...fleet.engines.values()].flatMap(engine => engine.heldSessions()), [])
 })
