--- a/packages/testing/src/node/flushPromises.ts
+++ b/packages/testing/src/node/flushPromises.ts
@@ -1,4 +1,4 @@
-/** Runs every promise callback that is ready, so that client code advances before the next virtual event. */
+/** Lets every promise callback that is ready run, so that client code keeps up with virtual time. */
 export async function flushPromises (): Promise<void> {
   await new Promise<void>(resolve => setImmediate(resolve))
 }
