--- a/packages/testing/src/common/scenario/search.ts
+++ b/packages/testing/src/common/scenario/search.ts
@@ -1,4 +1,4 @@
-/** A seeded random search for fault schedules that break a promise. */
+/** A seeded random search for fault schedules that violate an invariant. */
 import fc from 'fast-check'
 import type { Violation } from '../checkers/violation.js'
 import { runScenario, type ScenarioCounts, type ScenarioOptions, type ScenarioResult } from './scenarioRunner.js'
@@ -9,6 +9,7 @@
 const FAULT_WINDOW_MS = 40_000
 const MAX_FAULTS = 6
 
+/** Seed and number of runs of a search, and callbacks. */
 export interface SearchOptions extends ScenarioOptions {
   runs: number
   seed: number
@@ -18,35 +19,37 @@
   onRun?: (result: ScenarioResult) => void
 }
 
+/** Result of a search. */
 export interface SearchResult {
+  /** Runs made, including those that shrink a counterexample. */
   runs: number
   seed: number
   /** Sums over all runs. */
   totals: ScenarioCounts
-  /** The smallest schedule found that breaks a promise. */
+  /** The smallest schedule found that violates an invariant; undefined when none does. */
   counterexample?: { scenario: Scenario, violations: Violation[] }
 }
 
-/** Draws schedules and runs them until one breaks a promise; that one is shrunk. */
+/** Draws and runs schedules until one violates an invariant; that one is then shrunk to a smaller one. */
 export async function searchSchedules (options: SearchOptions): Promise<SearchResult> {
   const totals: ScenarioCounts = { programs: 0, finished: 0, refused: 0, steps: 0, nonRepeatableSteps: 0, unknownSteps: 0, faults: 0, workerCrashes: 0, virtualMs: 0 }
   let runs = 0
-  let last: ScenarioResult | undefined
+  let lastFailure: ScenarioResult | undefined
   const property = fc.asyncProperty(scenarioArbitrary(), async scenario => {
     options.onScenario?.(scenario)
     const result = await runScenario(scenario, options)
     runs++
     addCounts(totals, result.counts)
     options.onRun?.(result)
-    if (result.violations.length > 0) last = result
+    if (result.violations.length > 0) lastFailure = result
     return result.violations.length === 0
   })
   const outcome = await fc.check(property, { seed: options.seed, numRuns: options.runs, endOnFailure: false })
-  const found = outcome.failed && last !== undefined ? { scenario: last.scenario, violations: last.violations } : undefined
+  const found = outcome.failed && lastFailure !== undefined ? { scenario: lastFailure.scenario, violations: lastFailure.violations } : undefined
   return { runs, seed: options.seed, totals, counterexample: found }
 }
 
-/** Any small fleet with any schedule of faults. */
+/** Draws scenarios with three nodes, eight programs and one to six faults. */
 export function scenarioArbitrary (): fc.Arbitrary<Scenario> {
   return fc.record({
     seed: fc.integer({ min: 1, max: 1_000_000 }),
@@ -66,7 +69,7 @@
     budget,
     log: { hidesOffsets, appendsPerSecond, retentionMs },
     workload: { programs: 8, meanArrivalMs: 2_000, vanishingShare },
-    faults: faults.map(fault => renameWorkers(fault, firm))
+    faults: faults.map(fault => resolveWorkerNames(fault, firm))
   }))
 }
 
@@ -102,8 +105,8 @@
   )
 }
 
-/** Puts the firm's names in place of `engine-N` and `tool-N`. */
-function renameWorkers (fault: Fault, firm: Scenario['firm']): Fault {
+/** Replaces `engine-N` and `tool-N` with the names of the firm's workers. */
+function resolveWorkerNames (fault: Fault, firm: Scenario['firm']): Fault {
   if (!('worker' in fault)) return fault
   const [engine, tool] = firm === 'harrow' ? ['tailor-models', 'shop-ledger'] : ['braid-models', 'workshop-app']
   return { ...fault, worker: fault.worker.replace(/^engine/, engine).replace(/^tool/, tool) }
