--- a/packages/testing/src/common/experiments/arrivals.ts
+++ b/packages/testing/src/common/experiments/arrivals.ts
@@ -1,39 +1,45 @@
-/** Open-loop arrivals: programs come whether or not the fleet keeps up. */
+/** Open-loop arrivals of programs: they do not slow down when the fleet cannot keep up. */
 import { SeededRandom } from '@trefoilshunt/core'
 import { createPlan, type PlanShape, type ProgramPlan } from '../workload/programPlan.js'
 
-/** One kind of work and how often it comes. */
+/** Arrivals of one kind of work, with a rate that may change over time. */
 export interface ArrivalStream {
   name: string
   shape: PlanShape
-  /** Programs per second, from each time on until the next one. */
+  /** Programs per second, from `fromMs` until the next entry; in ascending order of `fromMs`, at least one. */
   rates: Array<{ fromMs: number, perSecond: number }>
 }
 
+/** One program and the time at which it arrives. */
 export interface Arrival {
+  /** Name of the stream that it belongs to. */
   stream: string
-  /** Number within the stream; equal seeds give equal programs for equal numbers. */
+  /** Index within the stream. The same seed, stream position and index always give the same program. */
   index: number
+  /** Time since the start of the run, in milliseconds. */
   atMs: number
   plan: ProgramPlan
 }
 
-/** Draws every arrival of a run, in order of time. Each stream has its own random numbers, so that one does not change the others. */
+/**
+ * Draws every arrival before `untilMs`, in order of time.
+ * Each stream is seeded by its position in `streams`, so a stream added at the end does not change the arrivals of the others.
+ */
 export function createArrivals (streams: ArrivalStream[], untilMs: number, seed: number): Arrival[] {
   return streams
-    .flatMap((stream, index) => createStream(stream, untilMs, seed * 31 + index))
+    .flatMap((stream, index) => createStreamArrivals(stream, untilMs, seed * 31 + index))
     .sort((left, right) => left.atMs - right.atMs)
 }
 
-function createStream ({ name, shape, rates }: ArrivalStream, untilMs: number, seed: number): Arrival[] {
-  const random = new SeededRandom(seed)
+function createStreamArrivals ({ name, shape, rates }: ArrivalStream, untilMs: number, seed: number): Arrival[] {
+  const arrivalRandom = new SeededRandom(seed)
   const planRandom = new SeededRandom(seed + 1_000_003)
   const arrivals: Arrival[] = []
   let atMs = rates[0].fromMs
   while (atMs < untilMs) {
     const perSecond = rateAt(rates, atMs)
     const nextChangeMs = rates.find(rate => rate.fromMs > atMs)?.fromMs ?? untilMs
-    const gapMs = perSecond > 0 ? random.nextExponential(1_000 / perSecond) : Infinity
+    const gapMs = perSecond > 0 ? arrivalRandom.nextExponential(1_000 / perSecond) : Infinity
     if (atMs + gapMs > nextChangeMs) {
       atMs = nextChangeMs
       continue
--- a/packages/testing/src/common/experiments/bounds.ts
+++ b/packages/testing/src/common/experiments/bounds.ts
@@ -1,14 +1,14 @@
-/** The users' measures as bounds on the figures of an experiment. */
+/** The users' performance requirements as bounds on the figures of an experiment. */
 import { atLeast, atMost, type BoundResult, type ExperimentFigures } from './experiment.js'
 import { engineTokensPerSecond, rateWithin } from './oracle.js'
 import { isWithinTarget, latencyPercentile, type Measurement, select, shareOf, tokenRate, wastedShare, type ProgramSample } from './measurement.js'
 
 const LOSS_RECOVERY_MS = 5_000
-const LOSS_LOOK_MS = 30_000
+const LOSS_WINDOW_MS = 30_000
 const MAX_TOKEN_GAP_MS = 56
 const MAX_REFUSAL_MS = 1_000
 
-/** Holds in every experiment. */
+/** Bounds that apply to every experiment: no violations, the time between tokens, the retry budget. */
 export function commonBounds ({ ours }: ExperimentFigures): BoundResult[] {
   return [
     atMost('promises broken', ours.violations, 0),
@@ -17,7 +17,7 @@
   ]
 }
 
-/** Urgent work during a flood of other work, against the same programs in the quiet run. */
+/** Urgent programs that arrive in the window, compared with the same programs in the quiet run. */
 export function urgentBounds ({ spec, ours, steady }: ExperimentFigures): BoundResult[] {
   const isUrgent = (sample: ProgramSample) => sample.rank === 'urgent'
   const flooded = select(ours, spec.window, isUrgent)
@@ -28,27 +28,27 @@
   ]
 }
 
-/** Programs that had started before the flood, against themselves in the quiet run. */
-export function startedBounds ({ spec, ours, steady }: ExperimentFigures): BoundResult[] {
+/** Programs that arrived before the window and were admitted, compared with the same programs in the quiet run. */
+export function startedBeforeBounds ({ spec, ours, steady }: ExperimentFigures): BoundResult[] {
   const steadyLatency = new Map(steady.samples.map(sample => [`${sample.stream}/${sample.index}`, sample.latencyMs]))
-  const started = ours.samples.filter(sample => sample.arrivedAtMs < spec.window.fromMs && !sample.isRefused)
+  const startedBefore = ours.samples.filter(sample => sample.arrivedAtMs < spec.window.fromMs && !sample.isRefused)
   const isInTime = (sample: ProgramSample) => sample.latencyMs <= 2 * (steadyLatency.get(`${sample.stream}/${sample.index}`) ?? Infinity)
   return [
-    atLeast('programs started before that finish', shareOf(started, sample => sample.isFinished), 1),
-    atLeast('programs started before within twice their steady latency', shareOf(started, isInTime), 0.95)
+    atLeast('programs started before that finish', shareOf(startedBefore, sample => sample.isFinished), 1),
+    atLeast('programs started before within twice their steady latency', shareOf(startedBefore, isInTime), 0.95)
   ]
 }
 
-/** What the other rank keeps of the capacity while urgent work floods in. */
+/** Token throughput of the other rank in the window: at least its floor share, or its rate in the quiet run if that is lower. */
 export function floorBounds ({ spec, ours, steady }: ExperimentFigures): BoundResult[] {
   const { fromMs, untilMs } = spec.window
   const otherRate = (measurement: Measurement) => tokenRate(measurement.series, fromMs, untilMs, point => point.generatedTokens - point.urgentTokens)
-  const floor = spec.firm.document.ranks.other.floorShare * tokenRate(ours.series, fromMs, untilMs)
-  const due = Math.min(floor, otherRate(steady))
-  return [atLeast('tokens of the other rank, relative to its floor or its quiet-time demand if that is less', otherRate(ours) / due, 1)]
+  const floorRate = spec.firm.document.ranks.other.floorShare * tokenRate(ours.series, fromMs, untilMs)
+  const requiredRate = Math.min(floorRate, otherRate(steady))
+  return [atLeast('tokens of the other rank, relative to its floor or its quiet-time demand if that is less', otherRate(ours) / requiredRate, 1)]
 }
 
-/** Useful work under overload. */
+/** Goodput under overload relative to the oracle, the time to a refusal, and tokens spent on programs that did not finish. */
 export function goodputBounds ({ spec, ours, oracle }: ExperimentFigures): BoundResult[] {
   const inWindow = select(ours, spec.window)
   const goodput = inWindow.filter(isWithinTarget).length
@@ -65,37 +65,38 @@
   return samples.reduce((slowest, sample) => sample.isRefused && sample.endedAtMs !== undefined ? Math.max(slowest, sample.endedAtMs - sample.arrivedAtMs) : slowest, 0)
 }
 
-/** Prefill that was computed before. */
+/** Prompt tokens that engines computed again although an engine had held them before. */
 export function cacheBounds ({ ours, baselines }: ExperimentFigures): BoundResult[] {
   const roundRobin = baselines.find(baseline => baseline.policy === 'round-robin')
-  const firstTime = ours.prefillTokens - ours.recomputedTokens
-  const bounds = [atMost('prompt tokens computed, relative to each once', ours.prefillTokens / Math.max(1, firstTime), 1.25)]
+  const firstTimeTokens = ours.prefillTokens - ours.recomputedTokens
+  const bounds = [atMost('prompt tokens computed, relative to each once', ours.prefillTokens / Math.max(1, firstTimeTokens), 1.25)]
   if (roundRobin !== undefined) bounds.unshift(atMost('prompt tokens computed again, relative to round-robin', recomputedPerToken(ours) / Math.max(1e-9, recomputedPerToken(roundRobin)), 0.1))
   return bounds
 }
 
-/** Policies admit different numbers of programs, so the waste is counted per generated token. */
+/** Recomputed prompt tokens per generated token. Policies admit different numbers of programs, so totals are not comparable. */
 function recomputedPerToken (measurement: Measurement): number {
   return measurement.recomputedTokens / Math.max(1, measurement.generatedTokens)
 }
 
 /**
- * Goodput soon after a loss: programs within target among those that arrive from 5 s after it on, relative to the same
- * programs in the quiet run, or to the share of the work that the surviving engines can do if that is less.
+ * Goodput after the loss of a worker, node or zone: programs within target among those that arrive in the 30 s that begin
+ * 5 s after the loss. The reference is the same programs in the quiet run, reduced to the share of the work that the
+ * surviving engines can do if they cannot do all of it.
  */
 export function lossBounds (lossAtMs: number, survivingEngines: number): (figures: ExperimentFigures) => BoundResult[] {
   return ({ ours, steady }) => {
-    const window = { fromMs: lossAtMs + LOSS_RECOVERY_MS, untilMs: lossAtMs + LOSS_RECOVERY_MS + LOSS_LOOK_MS }
+    const window = { fromMs: lossAtMs + LOSS_RECOVERY_MS, untilMs: lossAtMs + LOSS_RECOVERY_MS + LOSS_WINDOW_MS }
     const promptTokensPerToken = steady.prefillTokens / Math.max(1, steady.generatedTokens)
     const capacity = survivingEngines * engineTokensPerSecond(promptTokensPerToken)
-    const possibleShare = Math.min(1, capacity / tokenRate(steady.series, window.fromMs, window.untilMs))
-    const possible = select(steady, window, isWithinTarget).length * possibleShare
+    const achievableShare = Math.min(1, capacity / tokenRate(steady.series, window.fromMs, window.untilMs))
+    const achievableGoodput = select(steady, window, isWithinTarget).length * achievableShare
     const goodput = select(ours, window, isWithinTarget).length
-    return [atLeast(`goodput from 5 s after the loss at ${lossAtMs / 1_000} s, relative to what is possible`, goodput / possible, 0.95)]
+    return [atLeast(`goodput from 5 s after the loss at ${lossAtMs / 1_000} s, relative to what is possible`, goodput / achievableGoodput, 0.95)]
   }
 }
 
-/** A request that crashes workers, and everybody else's work. */
+/** Limits the workers that a poison request crashes, and requires every other admitted program to finish. */
 export function poisonBounds ({ ours }: ExperimentFigures): BoundResult[] {
   return [
     atMost('workers that the poison request crashed', ours.workerCrashes, 2),
@@ -103,7 +104,7 @@
   ]
 }
 
-/** Admitted programs reach their end. */
-export function carriedBounds ({ ours }: ExperimentFigures): BoundResult[] {
+/** Every admitted program finishes. */
+export function completionBounds ({ ours }: ExperimentFigures): BoundResult[] {
   return [atLeast('admitted programs that finish', shareOf(ours.samples.filter(sample => !sample.isRefused), sample => sample.isFinished), 1)]
 }
--- a/packages/testing/src/common/experiments/experiment.ts
+++ b/packages/testing/src/common/experiments/experiment.ts
@@ -1,31 +1,38 @@
-/** What an experiment is: a firm's fleet, arrivals, faults and the bounds that its figures are held against. */
+/** Types of an experiment: a firm's fleet, arrivals, faults, measured figures and their bounds. */
 import type { ConfigurationDocument, CoreSettings } from '@trefoilshunt/core'
 import type { Fault } from '../scenario/scenario.js'
 import type { ArrivalStream } from './arrivals.js'
 import type { Measurement } from './measurement.js'
 
-/** The size of a firm, from the users' brief. */
+/** Configuration and size of a firm's fleet, from the users' requirements. */
 export interface FirmSize {
   name: string
   document: ConfigurationDocument
-  /** Nodes of each availability zone. */
+  /** Number of nodes in each availability zone. */
   zones: Record<string, number>
+  /** Backend name of the model engines. */
   model: string
+  /** Number of model engines. */
   engines: number
+  /** Backend name of the service workers. */
   service: string
+  /** Number of service workers. */
   services: number
+  /** Network delay between availability zones. */
   zoneDelayMs: number
+  /** Network delay between callers and nodes. */
   callerDelayMs: number
 }
 
-/** A set of decision rules to run under. */
+/** Settings for placement, queueing and admission that an experiment runs with. */
 export interface Policy {
   name: string
   settings: Partial<CoreSettings>
 }
 
-/** A figure and the bound that it must keep. */
+/** A measured figure and the limit that it must meet. */
 export interface BoundResult {
+  /** What was measured, as printed in tables and reports. */
   bound: string
   measured: number
   limit: number
@@ -33,50 +40,56 @@
   isMet: boolean
 }
 
+/** Definition of one experiment. */
 export interface ExperimentSpec {
   name: string
   purpose: string
   firm: FirmSize
-  /** Time from the first arrival to the last. */
+  /** Programs arrive from the start of the run until this time. */
   durationMs: number
   streams: ArrivalStream[]
-  /** The arrivals without a flood, for the quiet run; `streams` when absent. */
+  /** Arrivals of the quiet run, which has no flood; `streams` when undefined. */
   steadyStreams?: ArrivalStream[]
   faults: Fault[]
-  /** Runs for minutes; left out of a run of all experiments. */
+  /** Takes minutes to run; `experiment run all` leaves it out. */
   isLarge?: boolean
-  /** A time that figures look at, such as that of a flood. */
+  /** The period that most figures are computed over, such as that of a flood. */
   window: { fromMs: number, untilMs: number }
-  /** Holds the figures against their bounds; `steady` is the run without flood and faults. */
+  /** Compares the figures with their limits. */
   bounds: (figures: ExperimentFigures) => BoundResult[]
 }
 
 /** Measurements of one experiment at one seed. */
 export interface ExperimentFigures {
   spec: ExperimentSpec
+  /** The run with the policy under test. */
   ours: Measurement
+  /** The quiet run: the policy under test without flood and faults. */
   steady: Measurement
+  /** Runs of the same arrivals and faults with other policies. */
   baselines: Measurement[]
   oracle: OracleFigures
 }
 
-/** Time after the beginning of a window from which rates are counted: by then a flood has filled the queues. */
+/** Rates are counted from this time after the beginning of a window, when a flood has filled the queues. */
 export const RATE_FROM_MS = 60_000
 
-/** Ceilings that no scheduler can pass. */
+/** Upper bounds on goodput that no scheduler can exceed. */
 export interface OracleFigures {
-  /** Programs within target in the window, admitted in the order of arrival by one that knows their lengths. */
+  /** Number of programs of the window that end within target when a scheduler that knows their lengths admits them in order of arrival. */
   goodputInOrder: number
-  /** Programs within target that end while the flood lasts, per second, when admitted in the order of arrival. */
+  /** Programs per second that end within target from `RATE_FROM_MS` after the beginning of the window to its end, when admitted in order of arrival. */
   goodputPerSecond: number
-  /** The first, when it may also refuse long programs in favour of short ones. */
+  /** Like `goodputInOrder`, but the scheduler may also refuse long programs in favour of short ones. */
   goodputShortestFirst: number
 }
 
+/** A bound that is met when `measured >= limit`. */
 export function atLeast (bound: string, measured: number, limit: number): BoundResult {
   return { bound, measured, limit, direction: 'atLeast', isMet: measured >= limit }
 }
 
+/** A bound that is met when `measured <= limit`. */
 export function atMost (bound: string, measured: number, limit: number): BoundResult {
   return { bound, measured, limit, direction: 'atMost', isMet: measured <= limit }
 }
--- a/packages/testing/src/common/experiments/firms.ts
+++ b/packages/testing/src/common/experiments/firms.ts
@@ -1,7 +1,8 @@
-/** The sizes of the two firms, from the users' brief. */
+/** Fleet sizes of the two firms, from the users' requirements. */
 import { HARROW_DOCUMENT, PLECIONKA_DOCUMENT } from '../workload/documents.js'
 import type { FirmSize } from './experiment.js'
 
+/** Harrow & Lisle: 8 engines behind 9 nodes in three availability zones. */
 export const HARROW: FirmSize = {
   name: 'harrow',
   document: HARROW_DOCUMENT,
@@ -17,6 +18,7 @@
 /** Harrow & Lisle grown to 60 engines behind 30 nodes. */
 export const HARROW_GROWN: FirmSize = { ...HARROW, name: 'harrow-60', zones: { regina: 10, saskatoon: 10, brandon: 10 }, engines: 60, services: 30 }
 
+/** Plecionka: 8 engines behind 10 nodes in four availability zones. */
 export const PLECIONKA: FirmSize = {
   name: 'plecionka',
   document: PLECIONKA_DOCUMENT,
--- a/packages/testing/src/common/experiments/runPolicy.ts
+++ b/packages/testing/src/common/experiments/runPolicy.ts
@@ -12,23 +12,24 @@
 
 const WARM_UP_MS = 5_000
 const APPLY_TIMEOUT_MS = 15_000
-const SERIES_STEP_MS = 1_000
-/** Time after the last arrival in which programs may finish. */
-const TAIL_MS = 1_200_000
+const SERIES_PERIOD_MS = 1_000
+/** Maximum time for programs to finish after the last arrival. */
+const COMPLETION_TIMEOUT_MS = 1_200_000
 const STEP_TIMEOUT_MS = 600_000
 const ENGINE_KV_TOKENS = 150_000
 const CHUNK_TOKENS = 16
 
+/** One run: an experiment, a policy, a seed and the arrivals. */
 export interface RunOptions {
   spec: ExperimentSpec
   policy: Policy
   seed: number
   arrivals: Arrival[]
-  /** Leaves out the faults, for the quiet run that others are compared with. */
+  /** Leaves out the faults of the experiment, for its quiet run. */
   withoutFaults?: boolean
 }
 
-/** Runs once and measures. */
+/** Runs an experiment once in virtual time and returns its figures. Times in them count from the start of the arrivals. */
 export async function runPolicy (options: RunOptions): Promise<Measurement> {
   const { spec, policy, seed, arrivals } = options
   const fleet = createFirmFleet(spec.firm, policy, seed)
@@ -39,7 +40,7 @@
   const series: TimePoint[] = []
   const observations = new Map<Arrival, ProgramObservation>()
   const state = { isOver: false }
-  const work = [
+  const pendingWork = [
     ...arrivals.map(async arrival => {
       await fleet.clientHost.sleep(arrival.atMs)
       observations.set(arrival, await driver.run(arrival.plan))
@@ -47,12 +48,12 @@
     ...(options.withoutFaults === true ? [] : startFaults(fleet, spec, driver, seed))
   ]
   sampleSeries(fleet, series, startMs, state)
-  await fleet.runWhile(Promise.all(work), startMs + spec.durationMs + TAIL_MS)
+  await fleet.runWhile(Promise.all(pendingWork), startMs + spec.durationMs + COMPLETION_TIMEOUT_MS)
   state.isOver = true
-  return collect(options, fleet, record, observations, series, startMs)
+  return createMeasurement(options, fleet, record, observations, series, startMs)
 }
 
-/** A fleet of a firm's size that follows a policy. */
+/** A fleet of a firm's size with the settings of a policy. Its nodes are started, but have no configuration document yet. */
 export function createFirmFleet (firm: FirmSize, policy: Policy, seed: number): Fleet {
   const zones = Object.keys(firm.zones)
   const fleet = new Fleet({ seed, zones, nodesPerZone: 0, zoneDelayMs: firm.zoneDelayMs, callerDelayMs: firm.callerDelayMs, settings: policy.settings })
@@ -66,7 +67,7 @@
   return fleet
 }
 
-/** Puts the document of a firm in force and lets the fleet come to rest. */
+/** Applies the configuration document of a firm as an operator and waits 5 s of virtual time for all nodes to receive it. */
 export async function putInForce (fleet: Fleet, firm: FirmSize): Promise<void> {
   await fleet.runUntil(WARM_UP_MS)
   const address = fleet.liveNodes()[0].identity.address
@@ -102,20 +103,20 @@
 
 function sampleSeries (fleet: Fleet, series: TimePoint[], startMs: number, state: { isOver: boolean }): void {
   series.push(readTimePoint(fleet, fleet.events.nowMs() - startMs))
-  fleet.events.after(SERIES_STEP_MS, () => {
+  fleet.events.after(SERIES_PERIOD_MS, () => {
     if (!state.isOver) sampleSeries(fleet, series, startMs, state)
   })
 }
 
-function collect ({ spec, policy, seed }: RunOptions, fleet: Fleet, record: RunRecord, observations: Map<Arrival, ProgramObservation>, series: TimePoint[], startMs: number): Measurement {
+function createMeasurement ({ spec, policy, seed }: RunOptions, fleet: Fleet, record: RunRecord, observations: Map<Arrival, ProgramObservation>, series: TimePoint[], startMs: number): Measurement {
   const engines = [...fleet.engines.values()]
   const sum = (read: (engine: typeof engines[number]) => number) => engines.reduce((total, engine) => total + read(engine), 0)
-  const usedByRoot = tokensByRoot(record, engines)
+  const usedTokensByRoot = tokensByRoot(record, engines)
   const samples = [...observations].map(([arrival, observation]) => {
-    const shifted = { ...observation, arrivedAtMs: observation.arrivedAtMs - startMs, openedAtMs: shift(observation.openedAtMs, startMs), endedAtMs: shift(observation.endedAtMs, startMs) }
-    return toSample(arrival, shifted, usedByRoot.get(observation.root ?? '') ?? 0)
+    const observationInRunTime = { ...observation, arrivedAtMs: observation.arrivedAtMs - startMs, openedAtMs: toRunTime(observation.openedAtMs, startMs), endedAtMs: toRunTime(observation.endedAtMs, startMs) }
+    return toSample(arrival, observationInRunTime, usedTokensByRoot.get(observation.root ?? '') ?? 0)
   })
-  const nodes = [...fleet.nodes.values()].map(node => node.kernel.status())
+  const nodeStatuses = [...fleet.nodes.values()].map(node => node.kernel.status())
   const budgets = new Map(spec.firm.document.workKinds.map(kind => [kind.name, kind.budget]))
   const gapsMs = engines.flatMap(engine => engine.counters.tokenGapsMs).sort((left, right) => left - right)
   return {
@@ -126,24 +127,24 @@
     recomputedTokens: sum(engine => engine.counters.recomputedTokens),
     prefillTokens: sum(engine => engine.counters.prefillTokens),
     generatedTokens: sum(engine => engine.counters.generatedTokens),
-    firstAttempts: nodes.reduce((total, status) => total + status.firstAttempts, 0),
-    retries: nodes.reduce((total, status) => total + status.retries, 0),
+    firstAttempts: nodeStatuses.reduce((total, status) => total + status.firstAttempts, 0),
+    retries: nodeStatuses.reduce((total, status) => total + status.retries, 0),
     workerCrashes: sum(engine => engine.counters.crashes),
     tokenGapP95Ms: gapsMs[Math.floor(gapsMs.length * 0.95)] ?? 0,
     violations: checkRun({ record, databases: [...fleet.databases.values()], engines, budgets }).length
   }
 }
 
-function shift (atMs: number | undefined, startMs: number): number | undefined {
+function toRunTime (atMs: number | undefined, startMs: number): number | undefined {
   return atMs === undefined ? undefined : atMs - startMs
 }
 
 function tokensByRoot (record: RunRecord, engines: Array<{ counters: { generatedBySession: Map<string, number> } }>): Map<string, number> {
-  const used = new Map<string, number>()
+  const tokenTotals = new Map<string, number>()
   for (const { root, programId } of record.programs) {
     if (root === undefined || programId === undefined) continue
     const tokens = engines.reduce((total, engine) => total + (engine.counters.generatedBySession.get(programId) ?? 0), 0)
-    used.set(root, (used.get(root) ?? 0) + tokens)
+    tokenTotals.set(root, (tokenTotals.get(root) ?? 0) + tokens)
   }
-  return used
+  return tokenTotals
 }
--- a/packages/testing/src/common/workload/documents.ts
+++ b/packages/testing/src/common/workload/documents.ts
@@ -20,7 +20,7 @@
   abandonGraceMs: 5_000
 }
 
-/** Plecionka: pattern drafts are urgent (the straw dries), coaching sessions are long. */
+/** Plecionka: pattern drafts are urgent because the straw dries while the plaiter waits; coaching sessions are long. */
 export const PLECIONKA_DOCUMENT: ConfigurationDocument = {
   workKinds: [
     { name: 'pattern', rank: 'urgent', targetMs: 45_000, worth: 5, models: ['braid-models'], budget: { tokens: 30_000, steps: 40, toolCalls: 20, wallTimeMs: 1_800_000, depth: 1 } },
--- a/packages/testing/src/common/workload/programDriver.ts
+++ b/packages/testing/src/common/workload/programDriver.ts
@@ -1,4 +1,4 @@
-/** Runs program plans through the client library and records what the caller sees. */
+/** Runs program plans through the client library and records what the callers observe. */
 import { Client, type AttemptRecord, type ICallerTransport, type IClientHost, type ProgramSession } from '@trefoilshunt/client'
 import type { StepCall } from '@trefoilshunt/core'
 import { toPoisonPrompt, toPrompt } from '@trefoilshunt/standins'
@@ -10,42 +10,47 @@
 const STEP_TIMEOUT_MS = 120_000
 const FILLER = 'the seam at the left shoulder pulls when the rider leans into the wind and the collar rubs '
 
-/** The fleet as callers reach it, over virtual links or real sockets. */
+/** How callers reach a fleet, over simulated links or real sockets. */
 export interface ICallerWorld {
   readonly host: IClientHost
   readonly zones: string[]
-  /** Addresses that a new client begins with. */
+  /** Addresses that a new client starts with. */
   seeds (): string[]
+  /** Transport that authenticates as the customer. */
   transportOf (customer: string): ICallerTransport
 }
 
+/** Options of a `ProgramDriver`. */
 export interface DriverOptions {
   world: ICallerWorld
+  /** Receives the observation of every program. */
   record: RunRecord
-  /** Target of each work kind, in milliseconds. */
+  /** Target in milliseconds and rank of each work kind. */
   targets: Record<string, { targetMs: number, rank: string }>
+  /** Time limit of each step; 120 s when undefined. */
   stepTimeoutMs?: number
-  /** Stream every n-th model step; 0 streams none. */
+  /** Stream the model steps whose step number is a multiple of this; 0 or undefined streams none. */
   streamEvery?: number
-  /** Wait and try again when an opening is refused for overload. */
+  /** Wait and try again when the opening of a program is refused for overload. */
   retriesOverload?: boolean
+  /** Time limit for opening a program; that of the client library when undefined. */
   openTimeoutMs?: number
 }
 
-/** The caller's side of a run. */
+/** The callers of a run: opens programs, runs their steps and records every observation and attempt. */
 export class ProgramDriver {
   private readonly _options: DriverOptions
   private readonly _clients = new Map<string, Client>()
-  private readonly _open = new Map<string, StepObservation>()
+  private readonly _stepObservations = new Map<string, StepObservation>()
   private _lastIndex = 0
 
   constructor (options: DriverOptions) {
     this._options = options
   }
 
-  /** Runs one program from its arrival to its end. */
+  /** Runs one program, with its sub-agents, from its arrival to its end. Refusals and failed steps are recorded, not thrown. */
   async run (plan: ProgramPlan): Promise<ProgramObservation> {
-    const observation = this._observe(plan.kind, plan.customer, answerTokensOf(plan.steps))
+    const observation = this._startObservation(plan.kind, plan.customer, answerTokensOf(plan.steps))
     observation.isHopeless = plan.isHopeless === true
     await this._runObserved(plan, observation, undefined)
     return observation
@@ -91,7 +96,7 @@
 
   private async _runChildren (plan: ProgramPlan, plans: PlanStep[][], session: ProgramSession, parent: ProgramObservation): Promise<boolean> {
     const children = plans.map(async steps => {
-      const observation = this._observe(plan.kind, plan.customer, answerTokensOf(steps))
+      const observation = this._startObservation(plan.kind, plan.customer, answerTokensOf(steps))
       observation.root = parent.root
       await this._runObserved({ ...plan, steps, poisonStep: undefined, vanishesAtStep: undefined }, observation, session)
       return observation.isFinished
@@ -112,7 +117,7 @@
       startedAtMs: this._options.world.host.nowMs()
     }
     observation.steps.push(stepObservation)
-    this._open.set(`${session.programId}/${session.nextStep}`, stepObservation)
+    this._stepObservations.set(`${session.programId}/${session.nextStep}`, stepObservation)
     const isStreamed = this._isStreamed(stepObservation, call)
     const outcome = await session.step(call, {
       timeoutMs: this._options.stepTimeoutMs ?? STEP_TIMEOUT_MS,
@@ -138,12 +143,12 @@
     if (step.type === 'tool') {
       return { type: 'service', service: plan.service, path: '/orders', body: { checkId, programId: session.programId }, isRepeatable: step.isRepeatable }
     }
-    const text = fillerOf(step.promptTokens, isPoison ? 'poison' : `${session.programId}/${session.nextStep}`)
+    const text = createFillerText(step.promptTokens, isPoison ? 'poison' : `${session.programId}/${session.nextStep}`)
     const prompt = toPrompt(isPoison ? toPoisonPrompt(text) : text, step.answerTokens)
     return { type: 'model', messages: [{ role: 'user', content: prompt }], maxTokens: step.answerTokens }
   }
 
-  private _observe (kind: string, customer: string, plannedTokens: number): ProgramObservation {
+  private _startObservation (kind: string, customer: string, plannedTokens: number): ProgramObservation {
     const target = this._options.targets[kind]
     const observation: ProgramObservation = {
       index: ++this._lastIndex,
@@ -164,26 +169,26 @@
     return observation
   }
 
-  /** Callers are spread over a few clients, each with its own view of the addresses. */
+  /** One client per customer and zone; each keeps its own list of node addresses. */
   private _clientFor (customer: string, index: number): Client {
     const { host, zones } = this._options.world
     const zone = zones[index % zones.length]
     const key = `${customer}/${zone}`
     let client = this._clients.get(key)
     if (client === undefined) {
-      client = new Client({ customer, transport: this._options.world.transportOf(customer), host, seeds: this._options.world.seeds(), zone, onAttempt: attempt => this._noteAttempt(attempt) })
+      client = new Client({ customer, transport: this._options.world.transportOf(customer), host, seeds: this._options.world.seeds(), zone, onAttempt: attempt => this._recordAttempt(attempt) })
       this._clients.set(key, client)
     }
     return client
   }
 
-  private _noteAttempt (attempt: AttemptRecord): void {
+  private _recordAttempt (attempt: AttemptRecord): void {
     if (attempt.request.type !== 'step') return
-    this._open.get(`${attempt.request.programId}/${attempt.request.step}`)?.attempts.push(attempt)
+    this._stepObservations.get(`${attempt.request.programId}/${attempt.request.step}`)?.attempts.push(attempt)
   }
 }
 
-function fillerOf (tokens: number, tag: string): string {
+function createFillerText (tokens: number, tag: string): string {
   const length = tokens * CHARACTERS_PER_TOKEN
   const text = FILLER.repeat(Math.ceil(length / FILLER.length)).slice(0, Math.max(0, length - tag.length - 1))
   return `${tag} ${text}`
--- a/packages/testing/src/common/workload/shapes.ts
+++ b/packages/testing/src/common/workload/shapes.ts
@@ -1,4 +1,4 @@
-/** Program shapes of the two firms. */
+/** Program shapes of the work kinds of the two firms. */
 import type { PlanShape } from './programPlan.js'
 
 export const FITTING_SHAPE: PlanShape = {
