--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,8 +1,9 @@
+/** ESLint configuration: Standard style, deterministic common code, and the allowed imports between packages. */
 import neostandard from 'neostandard'
 
-const clockAndRandomMessage = 'core is deterministic: use IClock, ITimers and IRandom'
+const clockAndRandomMessage = 'common code is deterministic: use IClock, ITimers and IRandom'
 
-/** Forbids imports of packages that stand above the given one. */
+/** Forbids imports that match the patterns in files that match the globs. */
 function forbidImports (files, patterns) {
   return { files, rules: { 'no-restricted-imports': ['error', { patterns }] } }
 }
--- a/examples/embedded.ts
+++ b/examples/embedded.ts
@@ -1,5 +1,5 @@
 /**
- * The core in a host of one's own: one node, an in-memory log, an echo engine, no sockets.
+ * Example of embedding the core in a custom host: one node, an in-memory log, an engine that echoes the prompt, no sockets.
  * Run it with `node --import tsx --conditions=development examples/embedded.ts`.
  */
 import { type CallerReply, type CallerRequest, type ConfigurationDocument, type Effect, type InputEvent, Kernel, type LogRecord, VmRole, VmState } from '@trefoilshunt/core'
@@ -13,7 +13,7 @@
   abandonGraceMs: 1_000
 }
 
-/** Hosts one kernel: hands events in and carries the effects out. */
+/** Hosts one kernel: passes input events to it and executes the effects that it returns. */
 export class EmbeddedHost {
   private readonly _kernel = new Kernel({
     identity: { node: 'host-1', incarnation: '1', address: 'here', peerAddress: 'here', zone: 'home', environment: 'production' },
@@ -25,14 +25,14 @@
   private readonly _replies = new Map<string, (reply: CallerReply) => void>()
   private _lastRequest = 0
 
-  /** Starts the kernel with one worker and puts a document in force. */
+  /** Starts the kernel with one worker and applies a configuration document. */
   async start (): Promise<void> {
     this._handle({ type: 'vmListed', entries: [{ name: 'echo-1', role: VmRole.Engine, zone: 'home', address: 'echo', backend: 'echo', state: VmState.Live }] })
     this._handle({ type: 'started' })
     await this.send({ type: 'apply', environment: 'production', baseRevision: 0, document: DOCUMENT, by: 'host' })
   }
 
-  /** Sends a request and waits for the final reply. */
+  /** Sends a request and waits for the final reply; the chunks of a streamed one are ignored. */
   async send (request: CallerRequest): Promise<CallerReply> {
     const requestId = `r${++this._lastRequest}`
     return await new Promise(resolve => {
@@ -41,30 +41,31 @@
     })
   }
 
+  /** Cancels all timers and disposes of the kernel. */
   stop (): void {
     for (const timer of this._timers.values()) clearTimeout(timer)
     this._kernel.dispose()
   }
 
   private _handle (event: InputEvent): void {
-    for (const effect of this._kernel.handle(event, Date.now())) this._run(effect)
+    for (const effect of this._kernel.handle(event, Date.now())) this._runEffect(effect)
   }
 
-  /** Effects are answered later, never in the middle of an event. */
-  private _run (effect: Effect): void {
-    const later = (event: InputEvent): void => { setImmediate(() => this._handle(event)) }
+  /** Executes an effect. Its result is passed to the kernel in a later turn of the event loop, never while the kernel handles an event. */
+  private _runEffect (effect: Effect): void {
+    const handleLater = (event: InputEvent): void => { setImmediate(() => this._handle(event)) }
     switch (effect.type) {
       case 'setTimer':
         this._timers.set(effect.timerId, setTimeout(() => this._handle({ type: 'timerFired', timerId: effect.timerId }), effect.delayMs))
         return
       case 'cancelTimer': return clearTimeout(this._timers.get(effect.timerId))
-      case 'appendLog': return later({ type: 'logAppended', operationId: effect.operationId, outcome: { type: 'appended', firstOffset: this._append(effect.stream, effect.records) } })
-      case 'readLog': return later({ type: 'logRead', operationId: effect.operationId, outcome: this._read(effect.stream, effect.fromOffset) })
+      case 'appendLog': return handleLater({ type: 'logAppended', operationId: effect.operationId, outcome: { type: 'appended', firstOffset: this._append(effect.stream, effect.records) } })
+      case 'readLog': return handleLater({ type: 'logRead', operationId: effect.operationId, outcome: this._read(effect.stream, effect.fromOffset) })
       case 'callBackend':
         if (effect.request.type === 'model') {
           const text = effect.request.messages.at(-1)?.content ?? ''
-          later({ type: 'backendEvent', callId: effect.callId, event: { type: 'chunk', text, tokens: text.length } })
-          later({ type: 'backendEvent', callId: effect.callId, event: { type: 'modelDone', result: { type: 'model', text: '', promptTokens: text.length, completionTokens: text.length, cachedTokens: 0 } } })
+          handleLater({ type: 'backendEvent', callId: effect.callId, event: { type: 'chunk', text, tokens: text.length } })
+          handleLater({ type: 'backendEvent', callId: effect.callId, event: { type: 'modelDone', result: { type: 'model', text: '', promptTokens: text.length, completionTokens: text.length, cachedTokens: 0 } } })
         }
         return
       case 'reply':
@@ -73,20 +74,20 @@
   }
 
   private _append (stream: string, records: LogRecord[]): number {
-    const kept = this._streams.get(stream) ?? []
-    const firstOffset = kept.length
-    this._streams.set(stream, [...kept, ...records])
+    const storedRecords = this._streams.get(stream) ?? []
+    const firstOffset = storedRecords.length
+    this._streams.set(stream, [...storedRecords, ...records])
     return firstOffset
   }
 
   private _read (stream: string, fromOffset: number) {
-    const kept = this._streams.get(stream) ?? []
-    const records = kept.slice(fromOffset).map((record, index) => ({ offset: fromOffset + index, record }))
-    return { type: 'read' as const, records, firstOffset: fromOffset, endOffset: kept.length }
+    const storedRecords = this._streams.get(stream) ?? []
+    const records = storedRecords.slice(fromOffset).map((record, index) => ({ offset: fromOffset + index, record }))
+    return { type: 'read' as const, records, firstOffset: fromOffset, endOffset: storedRecords.length }
   }
 }
 
-/** Opens a program, runs one step and returns the answer. */
+/** Opens a program, runs one step and returns the text of the answer, or the reply as JSON if the step did not complete. */
 export async function runExample (): Promise<string> {
   const host = new EmbeddedHost()
   await host.start()
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles the daemon into one script under `target/` and compiles it ahead, so that a restarted node serves soon:
- * reading and compiling the sources would take most of its start.
+ * Bundles the daemon into one script under `target/` and writes its V8 code cache and a loader that uses it.
+ * Without them, reading and compiling the sources would take most of the start time of a node.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
@@ -12,12 +12,13 @@
 const CACHE = 'target/trefoilshuntd.cache'
 const LOADER = 'target/trefoilshuntd.cjs'
 
-/** Modules that cost time at each start and that the daemon never uses, with what stands in for them. */
+/** Modules that the daemon does not need, or not whole, and that cost time at each start, with their replacements. */
 const LEFT_OUT = {
-  // Native text decoding of msgpackr; optional.
+  // Optional native text decoding of msgpackr.
   'msgpackr-extract': 'module.exports = undefined',
-  // The client of undici speaks HTTP/1.1 here.
+  // The daemon uses the client of undici with HTTP/1.1 only.
   'node:http2': 'module.exports = { constants: {} }',
+  // Of undici, the daemon uses only the connection pool and its `request` method.
   undici: `exports.Pool = require('undici/lib/dispatcher/pool.js')
     require('undici/lib/dispatcher/dispatcher.js').prototype.request = require('undici/lib/api/api-request.js')`
 }
@@ -60,7 +61,7 @@
 script.runInThisContext().call(module.exports, module.exports, require, module, filename, __dirname)
 `)
 
-// Runs the bundle's top level without settings, so that the functions of a start are in the cache.
+// Runs the top level of the bundle without settings before writing the cache. V8 then also caches the functions that are compiled at a start.
 const source = `(function (exports, require, module, __filename, __dirname) {${readFileSync(OUT, 'utf8')}\n})`
 const script = new Script(source, { filename: OUT })
 const require = createRequire(import.meta.url)
--- a/scripts/runTests.ts
+++ b/scripts/runTests.ts
@@ -1,4 +1,7 @@
-/** Runs every uvu test of the workspace in one process and ends with the counts. */
+/**
+ * Runs the uvu tests of the workspace in one process; the first argument limits them to files whose path contains it.
+ * The last line gives the counts. Exits with code 1 if a test failed or none ran.
+ */
 import { readdirSync, statSync } from 'node:fs'
 import { join, relative } from 'node:path'
 import { pathToFileURL } from 'node:url'
@@ -19,8 +22,8 @@
   })
 }
 
-/** Reads the totals that uvu prints. */
-function countFrom (output: string): { total: number, passed: number } {
+/** Reads the totals that uvu prints; NaN for a missing one. */
+function parseTotals (output: string): { total: number, passed: number } {
   const read = (label: string) => Number(new RegExp(`${label}:\\s+(\\d+)`).exec(output)?.[1] ?? NaN)
   return { total: read('Total'), passed: read('Passed') }
 }
@@ -31,7 +34,7 @@
   const globals = globalThis as UvuGlobals
   globals.UVU_DEFER = 1
   globals.UVU_QUEUE = []
-  // uvu decides at its first import whether it runs tests at once or queues them.
+  // uvu reads UVU_DEFER when it is first imported, so the globals must be set before: tests are then queued instead of run at once.
   const { exec } = await import('uvu')
   for (const [index, file] of files.entries()) {
     globals.UVU_INDEX = index
@@ -46,10 +49,10 @@
   }) as typeof process.stdout.write
   await exec(false)
   process.stdout.write = write as typeof process.stdout.write
-  const { total, passed } = countFrom(output)
-  const isRun = Number.isInteger(total) && total > 0
-  if (!isRun || passed !== total) process.exitCode = 1
-  process.stdout.write(`${isRun ? passed : 0} passed, ${isRun ? total - passed : 1} failed\n`)
+  const { total, passed } = parseTotals(output)
+  const hasTotals = Number.isInteger(total) && total > 0
+  if (!hasTotals || passed !== total) process.exitCode = 1
+  process.stdout.write(`${hasTotals ? passed : 0} passed, ${hasTotals ? total - passed : 1} failed\n`)
   process.exit(process.exitCode ?? 0)
 }
 
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -1,6 +1,6 @@
 /**
- * Bounded soak: real daemons as separate processes under load, with kills, freezes, planned stops, broken connections
- * and log outages. The history checkers read what callers and stand-ins recorded. Ends with code 1 on a violation.
+ * Time-limited soak test: real daemons as separate processes under load, with kills, freezes, planned stops, broken
+ * connections and log outages. The history checkers verify what callers and stand-ins recorded. Exits with code 1 on a violation.
  *
  * Usage: npm run soak -- [seconds] [seed]
  */
@@ -22,7 +22,8 @@
 
 type FaultName = 'kill' | 'freeze' | 'stop' | 'dropEngineConnections' | 'crashEngine' | 'loseToolAnswer' | 'logOutage' | 'loseAppendAnswer'
 const PROCESS_FAULTS: ReadonlySet<FaultName> = new Set(['kill', 'freeze', 'stop'])
-const FAULT_DECK: FaultName[] = [
+/** Faults are drawn uniformly from this list; repeated entries make a fault more frequent. */
+const WEIGHTED_FAULTS: FaultName[] = [
   'kill', 'kill', 'kill', 'kill', 'kill', 'freeze', 'freeze', 'freeze', 'freeze', 'stop', 'stop', 'stop', 'stop', 'stop',
   'dropEngineConnections', 'crashEngine', 'loseToolAnswer', 'logOutage', 'loseAppendAnswer', 'loseAppendAnswer'
 ]
@@ -32,17 +33,17 @@
   const random = new SeededRandom(Number(process.argv[3] ?? 1))
   const fleet = new SoakFleet({ ...HARROW_DOCUMENT, idleTimeoutMs: 120_000 }, ZONES, NODES_PER_ZONE)
   await fleet.start()
-  const faults = new Map<FaultName, number>()
+  const faultCounts = new Map<FaultName, number>()
   const violations: Violation[] = []
   const record = new RunRecord()
   const endMs = Date.now() + seconds * 1_000
-  const injector = injectFaults(fleet, random, faults, violations, endMs)
+  const injector = injectFaults(fleet, random, faultCounts, violations, endMs)
   await runPrograms(fleet, record, random, endMs)
   await injector
   const budgets = new Map(HARROW_DOCUMENT.workKinds.map(kind => [kind.name, kind.budget]))
   violations.push(...checkRun({ record, databases: fleet.databases, engines: fleet.engines.map(server => server.engine), budgets }))
   await fleet.close()
-  report(record, faults, violations)
+  printReport(record, faultCounts, violations)
 }
 
 async function runPrograms (fleet: SoakFleet, record: RunRecord, random: SeededRandom, endMs: number): Promise<void> {
@@ -56,21 +57,22 @@
   await Promise.all(runs)
 }
 
-async function injectFaults (fleet: SoakFleet, random: SeededRandom, faults: Map<FaultName, number>, violations: Violation[], endMs: number): Promise<void> {
-  const running: Array<Promise<void>> = []
+async function injectFaults (fleet: SoakFleet, random: SeededRandom, faultCounts: Map<FaultName, number>, violations: Violation[], endMs: number): Promise<void> {
+  const pendingFaults: Array<Promise<void>> = []
   while (Date.now() < endMs) {
     await fleet.callerWorld.host.sleep(random.nextExponential(MEAN_FAULT_GAP_MS))
-    const name = FAULT_DECK[random.nextInt(FAULT_DECK.length)]
-    const node = random.sample(fleet.nodes.filter(candidate => candidate.ended === undefined && !candidate.isStopped), 1).at(0)
-    const down = fleet.nodes.filter(candidate => candidate.ended !== undefined || candidate.isStopped).length
-    if (PROCESS_FAULTS.has(name) && (node === undefined || down >= MAX_DOWN_NODES)) continue
-    faults.set(name, (faults.get(name) ?? 0) + 1)
-    running.push(strike(name, fleet, node, random, violations))
+    const name = WEIGHTED_FAULTS[random.nextInt(WEIGHTED_FAULTS.length)]
+    const node = random.sample(fleet.nodes.filter(candidate => candidate.exitStatus === undefined && !candidate.isStopped), 1).at(0)
+    const unavailableNodes = fleet.nodes.filter(candidate => candidate.exitStatus !== undefined || candidate.isStopped).length
+    if (PROCESS_FAULTS.has(name) && (node === undefined || unavailableNodes >= MAX_DOWN_NODES)) continue
+    faultCounts.set(name, (faultCounts.get(name) ?? 0) + 1)
+    pendingFaults.push(injectFault(name, fleet, node, random, violations))
   }
-  await Promise.all(running)
+  await Promise.all(pendingFaults)
 }
 
-async function strike (name: FaultName, fleet: SoakFleet, node: SoakNode | undefined, random: SeededRandom, violations: Violation[]): Promise<void> {
+/** Injects one fault; resolves when the fault is over. */
+async function injectFault (name: FaultName, fleet: SoakFleet, node: SoakNode | undefined, random: SeededRandom, violations: Violation[]): Promise<void> {
   const sleep = async (ms: number) => await fleet.callerWorld.host.sleep(ms)
   const engine = fleet.engines[random.nextInt(fleet.engines.length)]
   switch (name) {
@@ -106,32 +108,32 @@
   }
 }
 
-/** A planned stop must end by itself with code 0. */
+/** Stops a node with SIGTERM and restarts it. Records a violation unless the process exits with code 0 within 150 s. */
 async function stopPlanned (fleet: SoakFleet, node: SoakNode | undefined, violations: Violation[]): Promise<void> {
   if (node === undefined) return
   node.isStopped = true
-  // A process that has not run its first line yet cannot take a signal.
+  // Until the daemon has installed its SIGTERM handler, the signal would kill it, so wait up to 10 s for it to respond.
   for (let waits = 0; !await isHealthy(node) && waits < 100; waits++) await fleet.callerWorld.host.sleep(100)
   node.process.kill('SIGTERM')
-  for (let waits = 0; node.ended === undefined && waits < 1_500; waits++) await fleet.callerWorld.host.sleep(100)
-  if (node.ended?.code !== 0) violations.push({ rule: 'planned stops end cleanly', detail: `${node.name} ended with ${JSON.stringify(node.ended)}` })
-  if (node.ended === undefined) node.process.kill('SIGKILL')
+  for (let waits = 0; node.exitStatus === undefined && waits < 1_500; waits++) await fleet.callerWorld.host.sleep(100)
+  if (node.exitStatus?.code !== 0) violations.push({ rule: 'planned stops end cleanly', detail: `${node.name} ended with ${JSON.stringify(node.exitStatus)}` })
+  if (node.exitStatus === undefined) node.process.kill('SIGKILL')
   await fleet.callerWorld.host.sleep(200)
   fleet.restart(node)
 }
 
-function report (record: RunRecord, faults: Map<FaultName, number>, violations: Violation[]): void {
+function printReport (record: RunRecord, faultCounts: Map<FaultName, number>, violations: Violation[]): void {
   const steps = record.steps
   const nonRepeatable = steps.filter(step => !step.isRepeatable)
   const unknown = nonRepeatable.filter(step => step.result?.type === 'unknown' || step.error?.type === 'unknown')
   const unfinished = record.programs.filter(program => !program.isFinished)
   const reasons = unfinished.map(program => JSON.stringify(program.refusal ?? program.steps.at(-1)?.error ?? 'a sub-agent did not finish'))
-  const total = [...faults.values()].reduce((sum, count) => sum + count, 0)
-  const ofProcesses = [...faults].filter(([name]) => PROCESS_FAULTS.has(name)).reduce((sum, [, count]) => sum + count, 0)
+  const total = [...faultCounts.values()].reduce((sum, count) => sum + count, 0)
+  const processFaults = [...faultCounts].filter(([name]) => PROCESS_FAULTS.has(name)).reduce((sum, [, count]) => sum + count, 0)
   const lines = [
     `programs ${record.programs.length}, finished ${record.programs.length - unfinished.length}`,
     `requests ${steps.reduce((sum, step) => sum + step.attempts.length, 0)}, steps ${steps.length}, non-repeatable ${nonRepeatable.length}, of them unknown ${unknown.length}`,
-    `faults ${total}, of processes ${ofProcesses}: ${[...faults].map(([name, count]) => `${name} ${count}`).join(', ')}`,
+    `faults ${total}, of processes ${processFaults}: ${[...faultCounts].map(([name, count]) => `${name} ${count}`).join(', ')}`,
     ...[...new Set(reasons)].slice(0, 10).map(reason => `not finished: ${reason}`),
     ...violations.map(violation => `BROKEN ${violation.rule}: ${violation.detail}`),
     `violations ${violations.length}`
--- a/scripts/soakFleet.ts
+++ b/scripts/soakFleet.ts
@@ -1,4 +1,4 @@
-/** Real daemons as separate processes on loopback, with stand-in servers in this process. */
+/** A fleet of real daemons as separate processes on loopback, with stand-in servers in this process, for the soak test and the benchmark. */
 import { type ChildProcess, spawn } from 'node:child_process'
 import { createHash } from 'node:crypto'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
@@ -17,29 +17,32 @@
 const APPLY_TIMEOUT_MS = 15_000
 const POLL_MS = 100
 
+/** One daemon and its current process. */
 export interface SoakNode {
   name: string
   zone: string
   callerPort: number
   peerPort: number
   process: ChildProcess
-  /** Signal or code of the last end, while the process is gone. */
-  ended?: { code: number | null, signal: NodeJS.Signals | null }
+  /** Exit code or signal of the process; undefined while it is running. */
+  exitStatus?: { code: number | null, signal: NodeJS.Signals | null }
+  /** A fault has stopped or paused the process, or is about to; no further process fault may use the node. */
   isStopped: boolean
 }
 
-/** Owns every process it starts and ends only those. */
+/** Starts the stand-ins and daemons, and ends only the processes that it started. */
 export class SoakFleet {
   readonly platform = new PlatformServer({ vmListLagMs: 300 })
   readonly engines: EngineServer[] = []
   readonly tools: ToolServer[] = []
   readonly databases: ToolDatabase[] = []
   readonly nodes: SoakNode[] = []
-  private readonly _folder = mkdtempSync(join(tmpdir(), 'trefoilshunt-soak-'))
+  private readonly _temporaryFolder = mkdtempSync(join(tmpdir(), 'trefoilshunt-soak-'))
   private readonly _transports = new Map<string, HttpTransport>()
 
-  constructor (private readonly _document: ConfigurationDocument, private readonly _zones: string[], private readonly _nodesPerZone: number, private readonly _engine: Partial<ModelEngineOptions> = { chunkTokens: 4 }, private readonly _core: Partial<CoreSettings> = {}) {}
+  constructor (private readonly _document: ConfigurationDocument, private readonly _zones: string[], private readonly _nodesPerZone: number, private readonly _engineOptions: Partial<ModelEngineOptions> = { chunkTokens: 4 }, private readonly _coreSettings: Partial<CoreSettings> = {}) {}
 
+  /** Starts everything and applies the configuration document. Throws if the nodes are not healthy within 20 s or the document is not accepted. */
   async start (): Promise<void> {
     await this.platform.server.listen()
     for (const backend of this._document.backends) await this._startBackend(backend)
@@ -49,38 +52,40 @@
     this.platform.vmList.publishNow()
     await this._waitFor(async () => (await Promise.all(this.nodes.map(async node => await isHealthy(node)))).every(Boolean))
     const request = { type: 'apply', environment: 'production', baseRevision: 0, document: this._document, by: '' } as const
-    const result = await this._transport(OPERATOR_KEY).send(addressOf(this.nodes[0]), request, { timeoutMs: APPLY_TIMEOUT_MS })
+    const result = await this._transportFor(OPERATOR_KEY).send(addressOf(this.nodes[0]), request, { timeoutMs: APPLY_TIMEOUT_MS })
     if (result.type !== 'reply' || result.reply.type !== 'accepted') throw new Error(`the document was not accepted: ${JSON.stringify(result)}`)
     await realClientHost.sleep(3_000)
   }
 
+  /** How callers reach this fleet. */
   get callerWorld (): ICallerWorld {
     return {
       host: realClientHost,
       zones: this._zones,
       seeds: () => this.nodes.map(addressOf),
-      transportOf: customer => this._transport(`soak-${customer}`)
+      transportOf: customer => this._transportFor(`soak-${customer}`)
     }
   }
 
-  /** Starts a new process for a node whose process has ended. */
+  /** Starts a new process for a node whose process has exited; does nothing while it is running. */
   restart (node: SoakNode): void {
-    if (node.ended === undefined) return
-    node.ended = undefined
+    if (node.exitStatus === undefined) return
+    node.exitStatus = undefined
     node.isStopped = false
     node.process = this._spawn(node)
   }
 
+  /** Kills the remaining daemons, closes transports and stand-ins, and removes the temporary settings files. */
   async close (): Promise<void> {
     for (const node of this.nodes) {
-      if (node.ended === undefined) node.process.kill('SIGKILL')
+      if (node.exitStatus === undefined) node.process.kill('SIGKILL')
     }
     await Promise.all([...this._transports.values()].map(async transport => await transport.close()))
     await Promise.all([...this.engines, ...this.tools, this.platform].map(async standin => await standin.server.close()))
-    rmSync(this._folder, { recursive: true, force: true })
+    rmSync(this._temporaryFolder, { recursive: true, force: true })
   }
 
-  private _transport (key: string): HttpTransport {
+  private _transportFor (key: string): HttpTransport {
     let transport = this._transports.get(key)
     if (transport === undefined) {
       transport = new HttpTransport({ key })
@@ -95,7 +100,7 @@
     for (let index = 1; index <= 4; index++) {
       const name = `${backend.name}-${index}`
       const isEngine = backend.type === 'modelEngine'
-      const standin = isEngine ? new EngineServer({ name, model: backend.name, ...this._engine }) : new ToolServer({ name, checksIdempotencyKeys: backend.checksIdempotencyKeys, latencyMs: 60 }, database)
+      const standin = isEngine ? new EngineServer({ name, model: backend.name, ...this._engineOptions }) : new ToolServer({ name, checksIdempotencyKeys: backend.checksIdempotencyKeys, latencyMs: 60 }, database)
       await standin.server.listen()
       if (standin instanceof EngineServer) this.engines.push(standin)
       else this.tools.push(standin)
@@ -104,7 +109,7 @@
   }
 
   private async _startNode (name: string, zone: string): Promise<void> {
-    const [callerPort, peerPort] = [await freePort(), await freePort()]
+    const [callerPort, peerPort] = [await findFreePort(), await findFreePort()]
     const node: SoakNode = { name, zone, callerPort, peerPort, isStopped: false, process: undefined as unknown as ChildProcess }
     writeFileSync(this._settingsFile(node), JSON.stringify(this._settingsOf(node), null, 2))
     node.process = this._spawn(node)
@@ -115,13 +120,13 @@
   private _spawn (node: SoakNode): ChildProcess {
     const child = spawn(process.execPath, ['packages/node/bin/trefoilshuntd.js', '--settings', this._settingsFile(node)], { stdio: ['ignore', 'ignore', 'inherit'] })
     child.on('exit', (code, signal) => {
-      if (node.process === child) node.ended = { code, signal }
+      if (node.process === child) node.exitStatus = { code, signal }
     })
     return child
   }
 
   private _settingsFile (node: SoakNode): string {
-    return join(this._folder, `${node.name}.jsonc`)
+    return join(this._temporaryFolder, `${node.name}.jsonc`)
   }
 
   private _settingsOf (node: SoakNode): unknown {
@@ -139,7 +144,7 @@
         operators: [{ name: 'operator', keySha256: sha256(OPERATOR_KEY) }],
         peerSecret: PEER_SECRET
       },
-      core: this._core,
+      core: this._coreSettings,
       logLevel: 'error'
     }
   }
@@ -153,11 +158,12 @@
   }
 }
 
+/** The address at which a node serves callers. */
 export function addressOf (node: SoakNode): string {
   return `127.0.0.1:${node.callerPort}`
 }
 
-/** True when the node's process answers. */
+/** True when the node responds to a health check with success; false on any error. */
 export async function isHealthy (node: SoakNode): Promise<boolean> {
   try {
     return (await fetch(`http://${addressOf(node)}/healthz`)).ok
@@ -166,7 +172,7 @@
   }
 }
 
-async function freePort (): Promise<number> {
+async function findFreePort (): Promise<number> {
   const server = createServer()
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   const address = server.address()
