--- a/packages/cli/src/common/experimentSummary.ts
+++ b/packages/cli/src/common/experimentSummary.ts
@@ -1,13 +1,13 @@
 /** Summarizes the measurement of a policy in an experiment as one row of figures. */
-import { type ExperimentSpec, isWithinTarget, latencyPercentile, type Measurement, select, tokenRate, wastedShare } from '@trefoilshunt/testing'
+import { type ExperimentSpec, isWithinTarget, latencyPercentile, type Measurement, selectSamples, tokenRate, wastedShare } from '@trefoilshunt/testing'
 
 /**
  * The figures by their headings, for the programs that arrive in the experiment's window. The key `'refused '` of the urgent programs ends with a
  * space because `refused` is the one of the other programs.
  */
 export function toSummaryRow (spec: ExperimentSpec, measurement: Measurement): Record<string, string | number> {
-  const urgent = select(measurement, spec.window, sample => sample.rank === 'urgent')
-  const other = select(measurement, spec.window, sample => sample.rank === 'other')
+  const urgent = selectSamples(measurement, spec.window, sample => sample.rank === 'urgent')
+  const other = selectSamples(measurement, spec.window, sample => sample.rank === 'other')
   const withinTarget = (samples: typeof urgent) => `${samples.filter(isWithinTarget).length}/${samples.length}`
   const countRefused = (samples: typeof urgent) => samples.filter(sample => sample.isRefused).length
   return {
--- a/packages/cli/src/node/demoCommand.ts
+++ b/packages/cli/src/node/demoCommand.ts
@@ -69,7 +69,7 @@
 
 async function runPrograms (fleet: LocalFleet, record: RunRecord, plans: ProgramPlan[], document: ConfigurationDocument, count: number, printProgress: (text: string) => void): Promise<Violation[]> {
   const targets = Object.fromEntries(document.workKinds.map(kind => [kind.name, { targetMs: kind.targetMs, rank: kind.rank }]))
-  const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets, streamEvery: 2 })
+  const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets, streamEvery: 2 })
   const runningPrograms: Array<Promise<ProgramObservation>> = []
   const progress = setInterval(() => {
     const finished = record.programs.filter(program => program.isFinished).length
@@ -77,11 +77,11 @@
   }, PROGRESS_INTERVAL_MS)
   for (let index = 0; index < count; index++) {
     runningPrograms.push(driver.run(plans[index % plans.length]))
-    await fleet.callerWorld.host.sleep(ARRIVAL_INTERVAL_MS)
+    await fleet.callerAccess.host.sleep(ARRIVAL_INTERVAL_MS)
   }
   await Promise.all(runningPrograms)
   clearInterval(progress)
-  await fleet.callerWorld.host.sleep(FINAL_WAIT_MS)
+  await fleet.callerAccess.host.sleep(FINAL_WAIT_MS)
   const budgets = new Map(document.workKinds.map(kind => [kind.name, kind.budget]))
   return checkRun({ record, databases: [...fleet.databases.values()], engines: fleet.engines.map(server => server.engine), budgets })
 }
--- a/packages/cli/src/node/loadCommand.ts
+++ b/packages/cli/src/node/loadCommand.ts
@@ -42,14 +42,14 @@
 
 async function runArrivals (fleet: LocalFleet, record: RunRecord, document: ConfigurationDocument, options: LoadOptions): Promise<void> {
   const targets = Object.fromEntries(document.workKinds.map(kind => [kind.name, { targetMs: kind.targetMs, rank: kind.rank }]))
-  const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets, streamEvery: 2 })
+  const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets, streamEvery: 2 })
   const programsPerSecondOfStream = options.programsPerSecond / 2
   const arrivals = createArrivals([
     { name: 'fitting', shape: { ...FITTING_SHAPE, meanPauseMs: 300 }, rates: [{ fromMs: 0, perSecond: programsPerSecondOfStream }] },
     { name: 'follow-up', shape: { ...FOLLOW_UP_SHAPE, meanPauseMs: 300 }, rates: [{ fromMs: 0, perSecond: programsPerSecondOfStream }] }
   ], options.seconds * 1_000, options.seed)
   await Promise.all(arrivals.map(async arrival => {
-    await fleet.callerWorld.host.sleep(arrival.atMs)
+    await fleet.callerAccess.host.sleep(arrival.atMs)
     await driver.run(arrival.plan)
   }))
 }
--- a/packages/cli/src/node/localFleet.ts
+++ b/packages/cli/src/node/localFleet.ts
@@ -4,7 +4,7 @@
 import { HttpTransport, type ICallerTransport, realClientHost } from '@trefoilshunt/client'
 import { Daemon, type IEventLog, type Settings, settingsSchema } from '@trefoilshunt/node'
 import { createToolDatabase, EngineServer, PlatformServer, type ToolDatabase, ToolServer } from '@trefoilshunt/standins'
-import type { ICallerWorld } from '@trefoilshunt/testing'
+import type { ICallerAccess } from '@trefoilshunt/testing'
 
 const PEER_SECRET = 'loopback-fleet-secret'
 const OPERATOR_KEY = 'loopback-operator'
@@ -66,7 +66,7 @@
   }
 
   /** What a program driver needs to run programs through this fleet. */
-  get callerWorld (): ICallerWorld {
+  get callerAccess (): ICallerAccess {
     return {
       host: realClientHost,
       zones: this._options.zones,
--- a/packages/cli/test/node/localFleet.test.ts
+++ b/packages/cli/test/node/localFleet.test.ts
@@ -21,7 +21,7 @@
 }
 
 function createClient (fleet: LocalFleet): Client {
-  const { callerWorld } = fleet
+  const { callerAccess: callerWorld } = fleet
   return new Client({ customer: 'riders', transport: callerWorld.transportOf('riders'), host: realClientHost, seeds: callerWorld.seeds() })
 }
 
--- a/packages/client/src/common/client.ts
+++ b/packages/client/src/common/client.ts
@@ -180,7 +180,7 @@
    * Address that the next request is sent to: that of the owner named by the last reply, or the one set with `useAddress`.
    * Undefined after a failure; the address book then selects one.
    */
-  get home (): string | undefined {
+  get preferredAddress (): string | undefined {
     return this._preferredAddress
   }
 
--- a/packages/core/src/common/configuration/configuration.ts
+++ b/packages/core/src/common/configuration/configuration.ts
@@ -119,7 +119,7 @@
   start (): void {
     this._membership.setDigestSource(() => ({ revision: this.revision, controlOffset: this._state.nextOffset }))
     this._peers.handle('configurationRequest', (_body, _from, respond) => respond(this._createPeerCopy()))
-    this._register(this._membership.onDidHearDigest(digest => {
+    this._register(this._membership.onDidReceiveDigest(digest => {
       if (digest.controlOffset > this._state.nextOffset) this._startRead()
     }))
     this._register(this._timers.every(this._settings.controlPollMs, () => this._startRead()))
--- a/packages/core/src/common/dispatch/suspectRequests.ts
+++ b/packages/core/src/common/dispatch/suspectRequests.ts
@@ -39,7 +39,7 @@
   }
 
   /** Records a crash of a worker that ran the request; true when this crash quarantines it. Only a worker's first crash counts. */
-  add (fingerprint: string, worker: string, crashedAtMs: number): boolean {
+  addCrash (fingerprint: string, worker: string, crashedAtMs: number): boolean {
     const suspect = this._suspects.get(fingerprint) ?? { crashTimesMs: new Map<string, number>(), firstCrashAtMs: crashedAtMs }
     if (!suspect.crashTimesMs.has(worker)) suspect.crashTimesMs.set(worker, crashedAtMs)
     this._suspects.set(fingerprint, suspect)
--- a/packages/core/src/common/drain/drain.ts
+++ b/packages/core/src/common/drain/drain.ts
@@ -96,7 +96,7 @@
     return [...roots]
       .map(root => ({ root, members: this._programs.treeOf(root) }))
       .filter(({ members }) => members.some(member => member.closedAtMs === undefined))
-      .filter(({ members }) => members.every(member => member.running === undefined && !member.isMoving))
+      .filter(({ members }) => members.every(member => member.running === undefined && !member.isInHandover))
   }
 
   private _groupByTarget (trees: ProgramTree[]): Map<PeerInfo, LiveProgram[]> {
@@ -124,7 +124,7 @@
     const journal = this._journal.current
     const movable = programs.filter(program => program.journal === journal)
     if (movable.length === 0) return
-    for (const program of movable) program.isMoving = true
+    for (const program of movable) program.isInHandover = true
     const offer = { type: 'handoverOffer', journal: journal.stream, programs: movable.map(program => cloneProgram(program.state)) } as const
     this._peers.request(target, offer, HANDOVER_OFFER_TIMEOUT_MS, answer => {
       const isAccepted = answer.type === 'answered' && answer.body.type === 'handoverAnswer' && answer.body.acceptedProgramIds.length === movable.length
@@ -138,7 +138,7 @@
   }
 
   private _cancelMove (programs: LiveProgram[]): void {
-    for (const program of programs) program.isMoving = false
+    for (const program of programs) program.isInHandover = false
   }
 
   /** Once this record is in the journal, `owner` owns the programs, even if the following messages are lost. */
--- a/packages/core/src/common/drain/handoverReceiver.ts
+++ b/packages/core/src/common/drain/handoverReceiver.ts
@@ -87,7 +87,7 @@
     if (!this._pending.has(handover)) return
     this._reader.readJournal(handover.journal, state => {
       if (!this._pending.has(handover)) return
-      const owner = state?.adoptions.get(handover.programs[0].programId)
+      const owner = state?.newOwners.get(handover.programs[0].programId)
       const isDecided = owner !== undefined || state?.fence !== undefined
       handover.checkCount++
       if (isDecided || handover.checkCount > MAX_CHECKS || handover.epoch.isFenced) {
@@ -106,7 +106,7 @@
       if (this._programs.get(state.programId) !== undefined) continue
       const program = createLiveProgram(state, handover.epoch, nowMs)
       program.formerJournal = handover.journal
-      program.isInherited = true
+      program.hasFormerOwner = true
       this._programs.add(program)
     }
     this._logger.info('programsReceived', { journal: handover.journal, programs: handover.programs.length })
--- a/packages/core/src/common/engines/engineMemory.ts
+++ b/packages/core/src/common/engines/engineCacheCleanup.ts
@@ -29,7 +29,7 @@
  * reports with the open programs, because a release may be lost and an owner may crash.
  */
 @injectable()
-export class EngineMemory {
+export class EngineCacheCleanup {
   /** Number of reports that held a session while this node had no open program for it, by session. */
   private readonly _unownedReportCounts = new Map<string, number>()
   /** Sequence number of the next cache event to read, by worker. */
--- a/packages/core/src/common/engines/engineOrders.ts
+++ b/packages/core/src/common/engines/engineOrders.ts
@@ -13,7 +13,7 @@
 import { IConfiguration } from '../configuration/configuration.js'
 import { IMembership } from '../membership/membership.js'
 import type { WorkerInfo } from '../membership/workerDirectory.js'
-import type { WorkerDemand } from '../peers/peerMessages.js'
+import type { WorkerLoad } from '../peers/peerMessages.js'
 import { IPeers } from '../peers/peers.js'
 import { IWorkerCoordinator } from '../placement/workerCoordinator.js'
 import { ICoordinatorTable } from '../placement/coordinatorTable.js'
@@ -145,7 +145,7 @@
   }
 
   /** Collects the loads of a pool's workers from their coordinators, without those of a coordinator that does not answer in time. */
-  private _collectWorkerLoads (pool: string, onComplete: (workerLoads: WorkerDemand[]) => void): void {
+  private _collectWorkerLoads (pool: string, onComplete: (workerLoads: WorkerLoad[]) => void): void {
     const coordinators = new Set(this._membership.workers(pool).flatMap(worker => this._coordinators.coordinatorOf(worker.worker)?.node ?? []))
     const collectedLoads = this._ownWorkerLoads(pool)
     coordinators.delete(this._identity.node)
@@ -168,13 +168,13 @@
     }
   }
 
-  private _ownWorkerLoads (pool: string): WorkerDemand[] {
+  private _ownWorkerLoads (pool: string): WorkerLoad[] {
     return this._membership.workers(pool)
       .filter(worker => this._coordinators.isCoordinator(worker.worker))
-      .map(worker => ({ worker: worker.worker, demand: this._workerCoordinator.demandOf(worker.worker) }))
+      .map(worker => ({ worker: worker.worker, demand: this._workerCoordinator.loadOf(worker.worker) }))
   }
 
-  private _moveWorker (pool: string, workerLoads: WorkerDemand[]): void {
+  private _moveWorker (pool: string, workerLoads: WorkerLoad[]): void {
     const loadByWorker = new Map(workerLoads.map(({ worker, demand }) => [worker, demand]))
     const loads = this._pools.modelsOf(pool).map(({ name }): ModelLoad => {
       const workers = this._pools.workersOf(name).map(worker => worker.worker)
--- a/packages/core/src/common/engines/engines.contribution.ts
+++ b/packages/core/src/common/engines/engines.contribution.ts
@@ -1,18 +1,18 @@
 /** Plug-in of the model engines: model pools, orders to load models and the release of cache. */
 import { type IPlugin, registerPlugin } from '../kernel/plugin.js'
-import { EngineMemory } from './engineMemory.js'
+import { EngineCacheCleanup } from './engineCacheCleanup.js'
 import { EngineOrders } from './engineOrders.js'
 import { IModelPools, ModelPools } from './modelPools.js'
 
 registerPlugin({
   name: 'engines',
   register (container) {
-    container.registerSingleton(EngineMemory)
+    container.registerSingleton(EngineCacheCleanup)
     container.registerSingleton(EngineOrders)
     container.registerSingleton(IModelPools, ModelPools)
   },
   create (container): IPlugin {
-    const memory = container.resolve(EngineMemory)
+    const memory = container.resolve(EngineCacheCleanup)
     const orders = container.resolve(EngineOrders)
     return {
       start () {
--- a/packages/core/src/common/forwarding/attemptOutcome.ts
+++ b/packages/core/src/common/forwarding/attemptOutcome.ts
@@ -34,7 +34,7 @@
 }
 
 /** What to do with a request after an attempt. */
-export type NextStep =
+export type NextAction =
   /** Send the request again from its start. */
   | { type: 'again' }
   /** Send the request again and continue after the last event that the caller has received. */
@@ -56,12 +56,12 @@
  * @example
  * resolveNextAction(AttemptOutcome.Unknown, history) // { type: 'unknown' } for a request that must not be repeated
  */
-export function resolveNextStep (outcome: AttemptOutcome, history: AttemptHistory): NextStep {
+export function resolveNextAction (outcome: AttemptOutcome, history: AttemptHistory): NextAction {
   const { route, sentCount, unsentCount, mayHaveRun, hasAnswerBegun, timeLeftMs } = history
   const isTimeLeft = timeLeftMs > MIN_ATTEMPT_MS
   const maySendAgain = isTimeLeft && sentCount < route.maxAttempts
-  const retryStep: NextStep = hasAnswerBegun ? { type: 'resume' } : { type: 'again' }
-  const finalStep: NextStep = mayHaveRun ? { type: 'unknown' } : { type: 'notRun' }
+  const retryStep: NextAction = hasAnswerBegun ? { type: 'resume' } : { type: 'again' }
+  const finalStep: NextAction = mayHaveRun ? { type: 'unknown' } : { type: 'notRun' }
   if (outcome === AttemptOutcome.NotSent) return maySendAgain && unsentCount < MAX_UNSENT_ATTEMPTS ? retryStep : finalStep
   if (outcome === AttemptOutcome.Refused) return maySendAgain ? retryStep : finalStep
   return maySendAgain && isRepeatable(route) ? retryStep : { type: 'unknown' }
--- a/packages/core/src/common/journal/journalFold.ts
+++ b/packages/core/src/common/journal/journalFold.ts
@@ -14,16 +14,16 @@
   /** The first fence. */
   fence?: { offset: number, by: NodeRef }
   /** New owners that this journal names, by program id; the first record for a program counts. */
-  adoptions: Map<string, NodeRef>
+  newOwners: Map<string, NodeRef>
   /** Ids of the records folded so far: a record that was appended twice counts once. */
-  ids: Set<string>
+  recordIds: Set<string>
   /** Offset at which reading went on after older records had been removed; 0 when none had been. */
   firstOffset: number
 }
 
 /** The state of an empty journal. */
 export function createJournalState (): JournalState {
-  return { nextOffset: 0, programs: new Map(), adoptedFrom: new Map(), adoptions: new Map(), ids: new Set(), firstOffset: 0 }
+  return { nextOffset: 0, programs: new Map(), adoptedFrom: new Map(), newOwners: new Map(), recordIds: new Set(), firstOffset: 0 }
 }
 
 /** Applies one record to the state, in place. Records of an unknown type change no program; the fields are not checked, see `foldIfValid`. */
@@ -31,8 +31,8 @@
   if (stored.offset < state.nextOffset) return
   state.nextOffset = stored.offset + 1
   const record = stored.record as JournalRecord
-  if (state.ids.has(record.id)) return
-  state.ids.add(record.id)
+  if (state.recordIds.has(record.id)) return
+  state.recordIds.add(record.id)
   switch (record.type) {
     case 'fenced':
       state.fence ??= { offset: stored.offset, by: record.by }
@@ -51,7 +51,7 @@
 /** The ownership of a program may also be transferred after the fence, by the node that fenced or by a later one: the first record counts. */
 function foldOwnershipTransfer (state: JournalState, programIds: string[], to: NodeRef): void {
   for (const programId of programIds) {
-    if (!state.adoptions.has(programId)) state.adoptions.set(programId, to)
+    if (!state.newOwners.has(programId)) state.newOwners.set(programId, to)
   }
 }
 
--- a/packages/core/src/common/journal/journalReader.ts
+++ b/packages/core/src/common/journal/journalReader.ts
@@ -60,5 +60,5 @@
 
 /** The node that a journal names as a program's new owner; undefined when it names none. */
 export function newOwnerOf (state: JournalState, programId: string): NodeRef | undefined {
-  return state.adoptions.get(programId)
+  return state.newOwners.get(programId)
 }
--- a/packages/core/src/common/kernel/callerPort.ts
+++ b/packages/core/src/common/kernel/callerPort.ts
@@ -38,7 +38,7 @@
   /** Number of requests that have no final reply yet. */
   readonly openCount: number
   /** Calls `listener` if the caller disconnects before the final reply. A second listener replaces the first. */
-  onGone (requestId: string, listener: () => void): void
+  onCallerDisconnected (requestId: string, listener: () => void): void
 }
 export const ICallers = Symbol('ICallers')
 
@@ -84,7 +84,7 @@
     if (this._openExchanges.has(exchange.requestId)) this._handlers.get(exchange.request.type)?.(exchange)
   }
 
-  onGone (requestId: string, listener: () => void): void {
+  onCallerDisconnected (requestId: string, listener: () => void): void {
     this._disconnectListeners.set(requestId, listener)
   }
 
--- a/packages/core/src/common/kernel/kernel.ts
+++ b/packages/core/src/common/kernel/kernel.ts
@@ -36,7 +36,7 @@
   programs: number
   openRequests: number
   /** Number of steps that wait for a slot of a worker or hold one. */
-  heldSlots: number
+  openSlotTickets: number
   journalBacklog: number
   journalAppends: number
   isLogHealthy: boolean
@@ -107,7 +107,7 @@
       isDraining: membership.isDraining,
       programs: this._container.resolve<IProgramTable>(IProgramTable).size,
       openRequests: this._callers.openCount,
-      heldSlots: this._container.resolve<ISlotRequester>(ISlotRequester).heldCount,
+      openSlotTickets: this._container.resolve<ISlotRequester>(ISlotRequester).openTicketCount,
       journalBacklog: journal.backlog,
       journalAppends: journal.appendCount,
       isLogHealthy: journal.isHealthy,
@@ -141,7 +141,7 @@
       case 'logAppended': return this._log.handleAppended(event.operationId, event.outcome)
       case 'logRead': return this._log.handleRead(event.operationId, event.outcome)
       case 'peerMessage': return this._peers.handleMessage(event.envelope)
-      case 'peerFailed': return this._peers.handleFailed(event.node, event.messageId)
+      case 'peerFailed': return this._peers.handleDeliveryFailure(event.node, event.messageId)
       case 'callerRequest': return this._callers.handleRequest({ requestId: event.requestId, request: event.request, hops: event.hops })
       case 'callerGone': return this._callers.handleCallerDisconnected(event.requestId)
       case 'forwardFailed': return this._callers.handleForwardFailed(event.requestId, { wasSent: event.wasSent })
--- a/packages/core/src/common/membership/membership.ts
+++ b/packages/core/src/common/membership/membership.ts
@@ -47,7 +47,7 @@
   /** Fires with the name of a node that has become unreachable. */
   readonly onDidSuspect: Event<string>
   /** Fires for every digest received in a probe or in its reply. */
-  readonly onDidHearDigest: Event<NodeDigest>
+  readonly onDidReceiveDigest: Event<NodeDigest>
   /** Nodes that may get new work, this one included unless it drains. */
   liveNodes (): PeerInfo[]
   /** Number of live nodes, at least 1. */
@@ -74,7 +74,7 @@
   /** Excludes a worker from new work because it announced that it is leaving. */
   markLeaving (worker: string): void
   /** Probes a node at once, because a request could not be delivered to it. */
-  markUnreachable (node: string): void
+  probeNow (node: string): void
   readonly isDraining: boolean
   /** Fires for each VM list that marks this node's VM as leaving. */
   readonly onDidReceiveLeaveNotice: Event<void>
@@ -98,7 +98,7 @@
   private _digestSource: DigestSource = () => ({ revision: 0, controlOffset: 0 })
 
   readonly onDidChange = this._didChange.event
-  readonly onDidHearDigest = this._didReceiveDigest.event
+  readonly onDidReceiveDigest = this._didReceiveDigest.event
   readonly onDidSuspect = this._didSuspect.event
   readonly onDidReceiveLeaveNotice = this._didReceiveLeaveNotice.event
 
@@ -180,7 +180,7 @@
     this._didChange.fire()
   }
 
-  markUnreachable (node: string): void {
+  probeNow (node: string): void {
     const peer = this._peers.get(node)
     if (peer !== undefined) this._probe(peer)
   }
--- a/packages/core/src/common/peers/peerMessages.ts
+++ b/packages/core/src/common/peers/peerMessages.ts
@@ -119,8 +119,8 @@
  * Load of a worker: `demand` is the number of running and waiting calls, plus the recent placement estimates that refused
  * admission, which decay with time.
  */
-export interface WorkerDemand { worker: string, demand: number }
-export interface WorkerLoadAnswer { type: 'demandAnswer', workers: WorkerDemand[] }
+export interface WorkerLoad { worker: string, demand: number }
+export interface WorkerLoadAnswer { type: 'demandAnswer', workers: WorkerLoad[] }
 
 /** Queries which of the programs that hold engine memory are no longer open at the receiver, which should own them. */
 export interface HeldProgramsQuery { type: 'heldQuery', programIds: string[] }
--- a/packages/core/src/common/peers/peers.ts
+++ b/packages/core/src/common/peers/peers.ts
@@ -84,7 +84,7 @@
   }
 
   /** Ends the request whose message the host could not deliver. */
-  handleFailed (node: string, messageId: number): void {
+  handleDeliveryFailure (node: string, messageId: number): void {
     this._didFailDelivery.fire(node)
     this._resolveRequest(messageId, { type: 'failed', isUnreachable: true })
   }
--- a/packages/core/src/common/placement/slotRequester.ts
+++ b/packages/core/src/common/placement/slotRequester.ts
@@ -48,7 +48,7 @@
    */
   acquire (query: SlotQuery, onOutcome: (outcome: SlotOutcome) => void): Slot
   /** Number of steps that wait for a slot or hold one. */
-  readonly heldCount: number
+  readonly openTicketCount: number
 }
 export const ISlotRequester = Symbol('ISlotRequester')
 
@@ -81,7 +81,7 @@
     this._membership.onDidChange(() => this._followCoordinators())
   }
 
-  get heldCount (): number {
+  get openTicketCount (): number {
     return this._tickets.size
   }
 
--- a/packages/core/src/common/placement/workerCoordinator.ts
+++ b/packages/core/src/common/placement/workerCoordinator.ts
@@ -57,7 +57,7 @@
   /** Grants slots of a paused worker again. */
   resumeWorker (worker: string): void
   /** Load of a worker: its running and waiting calls and the recent estimates that refused admission. */
-  demandOf (worker: string): number
+  loadOf (worker: string): number
 }
 export const IWorkerCoordinator = Symbol('IWorkerCoordinator')
 
@@ -197,7 +197,7 @@
     this._grantFreeSlots(coordinated)
   }
 
-  demandOf (worker: string): number {
+  loadOf (worker: string): number {
     const coordinated = this._workers.get(worker)
     return coordinated === undefined ? 0 : coordinated.queue.inFlightCount + coordinated.queue.waitingCount + coordinated.recentRefusals
   }
--- a/packages/core/src/common/programs/liveProgram.ts
+++ b/packages/core/src/common/programs/liveProgram.ts
@@ -39,11 +39,11 @@
   /** Time at which this node closed the program or received it closed; undefined while it is open. */
   closedAtMs?: number
   /** True during a handover to another node: no step may start. */
-  isMoving: boolean
+  isInHandover: boolean
   /** Number of the step that this node sent to a back end and that has no recorded result. */
   sentStep?: number
   /** True when another node was the owner before; it may have sent a step that is not recorded. */
-  isInherited: boolean
+  hasFormerOwner: boolean
   /** Journal of the former owner, which may hold a late result of the open intent. */
   formerJournal?: string
 }
@@ -59,7 +59,7 @@
     lastActiveMs: nowMs,
     snapshotAtMs: nowMs,
     closedAtMs: state.closedReason === undefined ? undefined : nowMs,
-    isMoving: false,
-    isInherited: false
+    isInHandover: false,
+    hasFormerOwner: false
   }
 }
--- a/packages/core/src/common/programs/programOpening.ts
+++ b/packages/core/src/common/programs/programOpening.ts
@@ -96,7 +96,7 @@
       const isOtherCustomer = parent.state.customer !== exchange.request.customer
       if (isOtherCustomer) this._refuse(exchange, Reason.NotFound, 'no such parent program')
       else if (parent.state.closedReason !== undefined) this._refuse(exchange, Reason.Closed, 'the parent program is closed')
-      else if (parent.isMoving) this._refuse(exchange, Reason.OwnerMoved, 'the parent program is moving to a new owner', NOT_READY_RETRY_MS)
+      else if (parent.isInHandover) this._refuse(exchange, Reason.OwnerMoved, 'the parent program is moving to a new owner', NOT_READY_RETRY_MS)
       else if (parent.state.depth + 1 > root.state.budget.depth) this._refuse(exchange, Reason.BudgetExceeded, `the budget allows ${root.state.budget.depth} levels of sub-agents`)
       else this._create({ exchange, kind, parent })
     }
@@ -144,7 +144,7 @@
     }
     const placedExchange = { ...exchange, request: { ...exchange.request, placedWorker: best.worker } }
     this._callers.forward(placedExchange, { node: coordinator.node, incarnation: coordinator.incarnation ?? '', address: coordinator.address }, ({ wasSent }) => {
-      this._membership.markUnreachable(coordinator.node)
+      this._membership.probeNow(coordinator.node)
       if (wasSent) this._callers.reply(exchange.requestId, { type: 'unknown', reason: Reason.OwnerUnreachable, detail: `the connection to ${coordinator.node} broke`, programId: '', step: 0, retryAfterMs: NOT_READY_RETRY_MS })
       else this._openAtFirstEstimate(exchange, kind, estimates.slice(1))
     })
--- a/packages/core/src/common/programs/programRouting.ts
+++ b/packages/core/src/common/programs/programRouting.ts
@@ -121,7 +121,7 @@
     }
     this._callers.forward(exchange, owner, ({ wasSent }) => {
       this._forgetHint(programIdOf(exchange) ?? '')
-      this._membership.markUnreachable(owner.node)
+      this._membership.probeNow(owner.node)
       if (wasSent) this._replyUnknown(exchange, `the connection to ${owner.node} broke`)
       else this._refuse(exchange, `node ${owner.node} could not be reached`)
     })
--- a/packages/core/src/common/programs/startedStep.ts
+++ b/packages/core/src/common/programs/startedStep.ts
@@ -18,7 +18,7 @@
 
 /** True when an earlier copy of the request may have reached a back end, from this node or from a former owner. */
 export function mayHaveRun (program: LiveProgram, request: StepRequest): boolean {
-  return program.sentStep === request.step || (request.isResend && program.isInherited)
+  return program.sentStep === request.step || (request.isResend && program.hasFormerOwner)
 }
 
 /** Digest of the work kind and of all calls so far: equal for every resend, also from a new program that makes the same calls. */
--- a/packages/core/src/common/programs/stepDecision.ts
+++ b/packages/core/src/common/programs/stepDecision.ts
@@ -36,7 +36,7 @@
   const next = nextStepOf(state)
   if (request.step < next) return decideRecordedStep(state, request, callDigest)
   if (state.closedReason !== undefined) return refuse(Reason.Closed, `the program is closed: ${state.closedReason}`)
-  if (program.isMoving) return { type: 'wait' }
+  if (program.isInHandover) return { type: 'wait' }
   if (running !== undefined) return decideWhileRunning(program, request, callDigest, maxWaiting)
   if (state.openClaim !== undefined) return decideWithOpenIntent(state, state.openClaim, request, callDigest)
   if (request.step > next) return decideAfterMissingTurns(state, request)
--- a/packages/core/src/common/programs/stepRunner.ts
+++ b/packages/core/src/common/programs/stepRunner.ts
@@ -133,7 +133,7 @@
 
   private _addListener (exchange: StepExchange, program: LiveProgram, running: RunningStep): void {
     running.listeners.set(exchange.requestId, { isStreamed: exchange.request.isStreamed })
-    this._callers.onGone(exchange.requestId, () => {
+    this._callers.onCallerDisconnected(exchange.requestId, () => {
       running.listeners.delete(exchange.requestId)
       if (running.listeners.size === 0) this._cancelIfAbandoned(program, running)
     })
@@ -170,7 +170,7 @@
 
   private _startNextWaiting (program: LiveProgram): void {
     const next = program.waiting.get(nextStepOf(program.state))
-    if (next === undefined || program.isMoving) return
+    if (next === undefined || program.isInHandover) return
     program.waiting.delete(next.request.step)
     this.handle(next, program)
   }
--- a/packages/core/src/common/programs/takeover.ts
+++ b/packages/core/src/common/programs/takeover.ts
@@ -118,7 +118,7 @@
         onLocated({ type: 'unavailable' })
         return
       }
-      const nextOwner = state.adoptions.get(programId)
+      const nextOwner = state.newOwners.get(programId)
       if (nextOwner !== undefined) this._followTransfers(programId, nextOwner, transferCount + 1, onLocated)
       else this._locateAtLastOwner(programId, writer, state, transferCount, onLocated)
     })
@@ -203,7 +203,7 @@
   /** Appends the programs to this node's journal first: a transfer record must never name an owner that lacks their state. */
   private _recordSnapshots (attempt: TakeoverAttempt, state: JournalState): void {
     this._selectOwnedPrograms(attempt, state, programs => {
-      const transferable = countReservedAsSpent(programs.filter(program => !state.adoptions.has(program.programId)))
+      const transferable = countReservedAsSpent(programs.filter(program => !state.newOwners.has(program.programId)))
       const ownEpoch = this._journal.current
       if (transferable.length === 0) {
         this._markFinished(attempt, 0)
@@ -261,12 +261,12 @@
 
   /** Adds the programs that the journal assigns to this node; another node may have recorded its transfer first. */
   private _addWonPrograms (attempt: TakeoverAttempt, state: JournalState, ownEpoch: IJournalEpoch, transferable: ProgramState[]): void {
-    const isDecided = transferable.every(program => state.adoptions.has(program.programId))
+    const isDecided = transferable.every(program => state.newOwners.has(program.programId))
     if (!isDecided || ownEpoch.isFenced) {
       this._postponeTakeover(attempt)
       return
     }
-    const wonPrograms = transferable.filter(program => isSameNode(state.adoptions.get(program.programId) as NodeRef, ownEpoch.writer))
+    const wonPrograms = transferable.filter(program => isSameNode(state.newOwners.get(program.programId) as NodeRef, ownEpoch.writer))
     for (const program of wonPrograms) this._addLiveProgram(program, ownEpoch, attempt.journal)
     this._markFinished(attempt, wonPrograms.length)
   }
@@ -275,7 +275,7 @@
     if (this._programs.get(state.programId) !== undefined) return
     const program = createLiveProgram(state, ownEpoch, this._clock.nowMs())
     program.formerJournal = formerJournal
-    program.isInherited = true
+    program.hasFormerOwner = true
     this._programs.add(program)
   }
 
@@ -318,6 +318,6 @@
 function isOwnedBy (writer: NodeRef, state: JournalState, sourceStates: Map<string, JournalState>, programId: string): boolean {
   const source = state.adoptedFrom.get(programId)
   if (source === undefined) return true
-  const newOwner = sourceStates.get(source)?.adoptions.get(programId)
+  const newOwner = sourceStates.get(source)?.newOwners.get(programId)
   return newOwner !== undefined && isSameNode(newOwner, writer)
 }
--- a/packages/core/src/common/turns/partitionState.ts
+++ b/packages/core/src/common/turns/partitionState.ts
@@ -1,5 +1,5 @@
 /** In-memory state of one partition at its owner: turns and token accounts, rebuilt from the records of the log. */
-import { type CachedPart, PromptCacheIndex, type PromptPart } from './promptCache.js'
+import { type CachedPart, PromptCacheIndex, type PromptPart } from './promptCacheIndex.js'
 import { committedTokens, type ProgramAccount, TokenLedger, TokenReservation } from './tokenLedger.js'
 import { decodeRecord, decodeTurn, encodeAccount, encodeAccountRemoval, encodeTurn, encodeTurnRemoval, type KeyedRecord } from './turnRecords.js'
 import { type RetainedTurn, TurnTree } from './turnTree.js'
@@ -84,7 +84,7 @@
   }
 
   /** Applies a record that was read from the log; false when it is damaged. */
-  fold (value: Uint8Array, nowMs: number): boolean {
+  applyRecord (value: Uint8Array, nowMs: number): boolean {
     const record = decodeRecord(value)
     if (record === undefined) return false
     if (record.type === 'account') {
@@ -102,7 +102,7 @@
   }
 
   /** Tokens that a program has used and reserved; 0 for an unknown program. */
-  committedOf (programId: string): number {
+  committedTokensOf (programId: string): number {
     const account = this._ledger.find(programId)
     return account === undefined ? 0 : committedTokens(account)
   }
@@ -127,7 +127,7 @@
   }
 
   /** Applies the end of a turn and returns the records to append; none when nothing changes, as for a repeated report. */
-  end (turnEnd: TurnEnd, nowMs: number): KeyedRecord[] {
+  recordEnd (turnEnd: TurnEnd, nowMs: number): KeyedRecord[] {
     const records: KeyedRecord[] = []
     if (turnEnd.turn !== undefined && !this._turns.has(turnEnd.turn.turnId)) {
       this._turns.add(turnEnd.turn, nowMs)
@@ -146,7 +146,7 @@
    * Withdraws unused allowances and returns the accounts' records. Without them the next owner has to count each allowance as
    * used.
    */
-  seal (nowMs: number): KeyedRecord[] {
+  sealAccounts (nowMs: number): KeyedRecord[] {
     return this._ledger.withdrawAllowances().flatMap(programId => this._accountRecords(programId, nowMs))
   }
 
--- a/packages/core/src/common/workers/workerChoice.ts
+++ b/packages/core/src/common/workers/workerChoice.ts
@@ -2,7 +2,7 @@
 import { inject, injectable } from 'tsyringe'
 import { hash32 } from '../base/rendezvous.js'
 import { IRandom } from '../kernel/random.js'
-import type { CachedPart, PromptPart } from '../turns/promptCache.js'
+import type { CachedPart, PromptPart } from '../turns/promptCacheIndex.js'
 import { IWorkerStatistics } from './workerStatistics.js'
 import type { WorkerRegistration } from './workerRegistry.js'
 
--- a/packages/core/src/common/workers/workerStatistics.ts
+++ b/packages/core/src/common/workers/workerStatistics.ts
@@ -1,6 +1,6 @@
 /** Statistics of each worker from this node's requests: in flight, durations, failures and cached prompts. */
 import { Ewma } from '../base/ewma.js'
-import type { PromptPart } from '../turns/promptCache.js'
+import type { PromptPart } from '../turns/promptCacheIndex.js'
 
 /** Weight of a new duration or failure; the averages cover about the last fifteen requests. */
 const SAMPLE_WEIGHT = 0.12
@@ -23,9 +23,9 @@
 /** Statistics of the workers that the choice of a worker uses. */
 export interface IWorkerStatistics {
   /** Counts a request as in flight. */
-  begin (workerId: string): void
+  beginRequest (workerId: string): void
   /** Ends a request. `ratio` is its duration relative to the mean of its route; undefined when it did not complete. */
-  end (workerId: string, ratio?: number): void
+  endRequest (workerId: string, ratio?: number): void
   /** Adds a failure. `severity` is 1 for a lost request, less for one that was answered with a failure or refused. */
   recordFailure (workerId: string, nowMs: number, severity?: number): void
   /** Records the parts of a prompt as cached by the worker. */
@@ -33,9 +33,9 @@
   /** Replaces the number of a peer's requests in flight by worker. */
   setPeerLoad (peer: string, inFlight: Readonly<Record<string, number>>): void
   /** Removes the load of a peer. */
-  dropPeer (peer: string): void
+  removePeerLoad (peer: string): void
   /** Removes the statistics of a worker; while requests are in flight, only its cached prompt parts. */
-  forget (workerId: string): void
+  removeWorker (workerId: string): void
   /** Requests in flight of this node and of the peers whose load is known. */
   inFlightOf (workerId: string): number
   /** This node's requests in flight by worker; workers without any are left out. */
@@ -55,11 +55,11 @@
   /** Sums of the peers' loads by worker, so that a choice among many workers need not iterate over the peers. */
   private readonly _peerLoadTotals = new Map<string, number>()
 
-  begin (workerId: string): void {
+  beginRequest (workerId: string): void {
     this._resolveEntry(workerId).inFlight++
   }
 
-  end (workerId: string, ratio?: number): void {
+  endRequest (workerId: string, ratio?: number): void {
     const entry = this._resolveEntry(workerId)
     entry.inFlight = Math.max(0, entry.inFlight - 1)
     if (ratio === undefined) return
@@ -87,19 +87,19 @@
   }
 
   setPeerLoad (peer: string, inFlight: Readonly<Record<string, number>>): void {
-    this.dropPeer(peer)
+    this.removePeerLoad(peer)
     this._peerLoads.set(peer, inFlight)
     this._addToPeerLoadTotals(inFlight, 1)
   }
 
-  dropPeer (peer: string): void {
+  removePeerLoad (peer: string): void {
     const known = this._peerLoads.get(peer)
     if (known === undefined) return
     this._peerLoads.delete(peer)
     this._addToPeerLoadTotals(known, -1)
   }
 
-  forget (workerId: string): void {
+  removeWorker (workerId: string): void {
     const entry = this._entries.get(workerId)
     if (entry === undefined) return
     if (entry.inFlight === 0) this._entries.delete(workerId)
--- a/packages/core/test/common/forwarding/attemptOutcome.test.ts
+++ b/packages/core/test/common/forwarding/attemptOutcome.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu'
 import * as assert from 'uvu/assert'
 import fc from 'fast-check'
-import { AttemptOutcome, type AttemptHistory, resolveNextStep, type Route, RouteKind } from '@trefoilshunt/core'
+import { AttemptOutcome, type AttemptHistory, resolveNextAction, type Route, RouteKind } from '@trefoilshunt/core'
 
 function createHistory (route: Partial<Route>, fields: Partial<AttemptHistory> = {}): AttemptHistory {
   const full: Route = {
@@ -26,28 +26,28 @@
 
 test('an unsafe request of unknown outcome is never sent again and never reported as not run', () => {
   fc.assert(fc.property(fc.nat(5), fc.nat(5), fc.integer({ min: 0, max: 2_000 }), (sentCount, unsentCount, timeLeftMs) => {
-    const next = resolveNextStep(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Unsafe, maxAttempts: 6 }, { sentCount, unsentCount, timeLeftMs, mayHaveRun: true }))
+    const next = resolveNextAction(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Unsafe, maxAttempts: 6 }, { sentCount, unsentCount, timeLeftMs, mayHaveRun: true }))
     return next.type === 'unknown'
   }))
 })
 
 test('after an attempt of unknown outcome a refusal is not reported as "not run"', () => {
   const history = createHistory({ kind: RouteKind.Safe }, { sentCount: 2, mayHaveRun: true })
-  assert.equal(resolveNextStep(AttemptOutcome.Refused, history), { type: 'unknown' })
+  assert.equal(resolveNextAction(AttemptOutcome.Refused, history), { type: 'unknown' })
 })
 
 test('refused and unsent requests are retried within the attempts of the route', () => {
-  assert.equal(resolveNextStep(AttemptOutcome.Refused, createHistory({ maxAttempts: 2 })), { type: 'again' })
-  assert.equal(resolveNextStep(AttemptOutcome.Refused, createHistory({ maxAttempts: 1 })), { type: 'notRun' })
-  assert.equal(resolveNextStep(AttemptOutcome.NotSent, createHistory({ maxAttempts: 1 }, { sentCount: 0, unsentCount: 1 })), { type: 'again' })
-  assert.equal(resolveNextStep(AttemptOutcome.NotSent, createHistory({}, { sentCount: 0, unsentCount: 3 })), { type: 'notRun' })
+  assert.equal(resolveNextAction(AttemptOutcome.Refused, createHistory({ maxAttempts: 2 })), { type: 'again' })
+  assert.equal(resolveNextAction(AttemptOutcome.Refused, createHistory({ maxAttempts: 1 })), { type: 'notRun' })
+  assert.equal(resolveNextAction(AttemptOutcome.NotSent, createHistory({ maxAttempts: 1 }, { sentCount: 0, unsentCount: 1 })), { type: 'again' })
+  assert.equal(resolveNextAction(AttemptOutcome.NotSent, createHistory({}, { sentCount: 0, unsentCount: 3 })), { type: 'notRun' })
 })
 
 test('a broken stream resumes after its last event only when the route allows it', () => {
   const broken = { sentCount: 1, mayHaveRun: true, hasAnswerBegun: true }
-  assert.equal(resolveNextStep(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: true }, broken)), { type: 'resume' })
-  assert.equal(resolveNextStep(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: false }, broken)), { type: 'unknown' })
-  assert.equal(resolveNextStep(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: true, maxAttempts: 1 }, broken)), { type: 'unknown' })
+  assert.equal(resolveNextAction(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: true }, broken)), { type: 'resume' })
+  assert.equal(resolveNextAction(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: false }, broken)), { type: 'unknown' })
+  assert.equal(resolveNextAction(AttemptOutcome.Unknown, createHistory({ kind: RouteKind.Stream, canResume: true, maxAttempts: 1 }, broken)), { type: 'unknown' })
 })
 
 test.run()
--- a/packages/core/test/common/journal/journalFold.test.ts
+++ b/packages/core/test/common/journal/journalFold.test.ts
@@ -43,7 +43,7 @@
 
 test('the first ownership transfer of a program counts', () => {
   const state = fold([createSnapshot(), createFence(), createTransfer(NODE_A), createTransfer(NODE_B)])
-  assert.equal(state.adoptions.get(PROGRAM), NODE_A)
+  assert.equal(state.newOwners.get(PROGRAM), NODE_A)
 })
 
 test('a withdrawn intent no longer blocks its step', () => {
--- a/packages/core/test/common/programs/stepDecision.test.ts
+++ b/packages/core/test/common/programs/stepDecision.test.ts
@@ -107,7 +107,7 @@
 
 test('a program in a handover starts no step', () => {
   const program = createProgram(0)
-  program.isMoving = true
+  program.isInHandover = true
   assert.is(decide(program, request(program, 1)).type, 'wait')
 })
 
--- a/packages/core/test/common/turns/partitionState.test.ts
+++ b/packages/core/test/common/turns/partitionState.test.ts
@@ -25,7 +25,7 @@
     },
     rebuild: () => {
       const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
-      for (const value of newest.values()) assert.ok(state.fold(value, 0))
+      for (const value of newest.values()) assert.ok(state.applyRecord(value, 0))
       return state
     },
     size: () => newest.size
@@ -42,8 +42,8 @@
     if (grant.type === 'granted') log.append(grant.records)
   }
   assert.is(state.grant({ ...request, requestId: 'c' }, 0).type, 'spent')
-  log.append(state.end(createEnd('a', 100), 0))
-  log.append(state.seal(0))
+  log.append(state.recordEnd(createEnd('a', 100), 0))
+  log.append(state.sealAccounts(0))
   const newOwner = log.rebuild()
   assert.is(newOwner.grant({ ...request, requestId: 'c' }, 0).type, 'granted')
   assert.is(newOwner.grant({ ...request, requestId: 'd' }, 0).type, 'spent')
@@ -69,7 +69,7 @@
   let given = 0
   for (const requestId of ['a', 'b', 'c', 'd', 'e', 'f', 'g']) {
     // The end is reported at once, but its record is lost with the owner.
-    if (requestId === 'f') state.end(createEnd('a', 100), 0)
+    if (requestId === 'f') state.recordEnd(createEnd('a', 100), 0)
     const grant = state.grant({ ...request, requestId }, 0)
     if (grant.type !== 'granted') continue
     log.append(grant.records)
@@ -127,7 +127,7 @@
         const used = Math.floor((open.get(requestId) ?? 0) * step.share)
         open.delete(requestId)
         given += used
-        unappended.push(...state.end(createEnd(requestId, used), 0))
+        unappended.push(...state.recordEnd(createEnd(requestId, used), 0))
       }
     }
     return given <= 1_000
@@ -137,9 +137,9 @@
 test('a chain is rebuilt from its records in order, also when a turn is split into several records', () => {
   const log = createLog()
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
-  log.append(state.end(createEnd('a', 0, createTurn('a')), 0))
-  log.append(state.end(createEnd('b', 0, createTurn('b', 'a', 9_000)), 0))
-  log.append(state.end(createEnd('c', 0, createTurn('c', 'a')), 0))
+  log.append(state.recordEnd(createEnd('a', 0, createTurn('a')), 0))
+  log.append(state.recordEnd(createEnd('b', 0, createTurn('b', 'a', 9_000)), 0))
+  log.append(state.recordEnd(createEnd('c', 0, createTurn('c', 'a')), 0))
   assert.ok(log.size() > 4, 'the long turn is split')
   const newOwner = log.rebuild()
   assert.equal(newOwner.chainOf('b')?.map(turn => turn.turnId), ['a', 'b'])
@@ -159,21 +159,21 @@
 
   const log = createLog()
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
-  log.append(state.end(createEnd('a', 0, createTurn('a', undefined, 9_000)), 0))
+  log.append(state.recordEnd(createEnd('a', 0, createTurn('a', undefined, 9_000)), 0))
   log.append(state.expire(1_000))
   assert.is(log.size(), 0)
 })
 
 test('a grant names the worker that has cached the session, for a turn of the same session or of a sub-agent', () => {
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
-  state.end({ ...createEnd('a', 0), prompt: [{ id: 'shared', tokens: 900 }, { id: 'own', tokens: 300 }] }, 0)
+  state.recordEnd({ ...createEnd('a', 0), prompt: [{ id: 'shared', tokens: 900 }, { id: 'own', tokens: 300 }] }, 0)
   const next = state.grant({ programId: 'p', requestId: 'b', prompt: [{ id: 'shared', tokens: 900 }, { id: 'own', tokens: 350 }, { id: 'child', tokens: 50 }], maxTokens: 1 }, 0)
   assert.equal(next.type === 'granted' ? next.cached : [], [{ id: 'own', tokens: 300, worker: 'w' }])
 })
 
 test('damaged records are reported, not thrown', () => {
   const state = new PartitionState({ maxRecordBytes: MAX_RECORD_BYTES })
-  fc.assert(fc.property(fc.uint8Array({ maxLength: 60 }), bytes => typeof state.fold(bytes, 0) === 'boolean'))
+  fc.assert(fc.property(fc.uint8Array({ maxLength: 60 }), bytes => typeof state.applyRecord(bytes, 0) === 'boolean'))
 })
 
 test.run()
--- a/packages/core/test/common/workers/workers.test.ts
+++ b/packages/core/test/common/workers/workers.test.ts
@@ -59,7 +59,7 @@
   const query = createQuery(workers, { prompt, cached: [{ id: 'own', tokens: 5_000, worker: 'w2' }] })
   statistics.recordPrompt('w2', prompt.slice(0, 1))
   for (let index = 0; index < 20; index++) assert.is(choice.chooseWorker(query)?.workerId, 'w2')
-  for (let index = 0; index < 8; index++) statistics.begin('w2')
+  for (let index = 0; index < 8; index++) statistics.beginRequest('w2')
   assert.is.not(choice.chooseWorker(query)?.workerId, 'w2')
 })
 
@@ -82,8 +82,8 @@
   assert.is(createChoice(loaded).chooseWorker(createQuery(workers))?.workerId, 'w1')
   const slow = new WorkerStatistics()
   for (let index = 0; index < 5; index++) {
-    slow.begin('w0')
-    slow.end('w0', 5)
+    slow.beginRequest('w0')
+    slow.endRequest('w0', 5)
   }
   assert.is(createChoice(slow).chooseWorker(createQuery(workers))?.workerId, 'w1')
   const failing = new WorkerStatistics()
@@ -94,14 +94,14 @@
 
 test('the load of all nodes uses the latest report of each node and drops that of a removed node', () => {
   const statistics = new WorkerStatistics()
-  statistics.begin('w')
+  statistics.beginRequest('w')
   statistics.setPeerLoad('a', { w: 3, v: 1 })
   statistics.setPeerLoad('b', { w: 2 })
   assert.equal([statistics.inFlightOf('w'), statistics.inFlightOf('v')], [6, 1])
   statistics.setPeerLoad('a', { w: 1 })
   assert.equal([statistics.inFlightOf('w'), statistics.inFlightOf('v')], [4, 0])
-  statistics.dropPeer('a')
-  statistics.dropPeer('a')
+  statistics.removePeerLoad('a')
+  statistics.removePeerLoad('a')
   assert.is(statistics.inFlightOf('w'), 3)
 })
 
@@ -113,14 +113,14 @@
   const first = choice.chooseWorker(createQuery(workers))?.workerId ?? ''
   let moved = 0
   for (let index = 0; index < 300; index++) {
-    statistics.begin(first)
-    statistics.end(first, 0.5 + random.nextExponential(0.5))
+    statistics.beginRequest(first)
+    statistics.endRequest(first, 0.5 + random.nextExponential(0.5))
     if (choice.chooseWorker(createQuery(workers))?.workerId !== first) moved++
   }
   assert.ok(moved <= 6, `moved ${moved} of 300 times`)
   for (let index = 0; index < 12; index++) {
-    statistics.begin(first)
-    statistics.end(first, 4)
+    statistics.beginRequest(first)
+    statistics.endRequest(first, 4)
   }
   assert.is.not(choice.chooseWorker(createQuery(workers))?.workerId, first)
 })
@@ -131,7 +131,7 @@
   const choice = new WorkerChoice(DEFAULT_WORKER_CHOICE, statistics, new SeededRandom(7))
   const query = createQuery(workers, { isConnected: worker => worker.workerId === 'w1' })
   for (let index = 0; index < 20; index++) assert.is(choice.chooseWorker(query)?.workerId, 'w1')
-  for (let index = 0; index < 5; index++) statistics.begin('w1')
+  for (let index = 0; index < 5; index++) statistics.beginRequest('w1')
   assert.is.not(choice.chooseWorker(query)?.workerId, 'w1')
 })
 
--- a/packages/node/src/common/routed/routedRequest.ts
+++ b/packages/node/src/common/routed/routedRequest.ts
@@ -73,7 +73,7 @@
 /** Receives the answer to one request. Calls after `end`, `refuse` or `abort` are ignored. */
 export interface IAnswerSink {
   /** Called once if the caller disconnects before the answer has ended. */
-  onGone: () => void
+  onCallerDisconnected: () => void
   begin (head: AnswerHead): void
   write (bytes: Uint8Array): void
   end (): void
--- a/packages/node/src/common/routed/workerClient.ts
+++ b/packages/node/src/common/routed/workerClient.ts
@@ -55,6 +55,6 @@
   /** True when a call to the address needs no new connection. */
   hasIdleConnection (address: string): boolean
   /** Closes the connections to an address that no worker uses any more; calls in flight may finish. */
-  forget (address: string): void
+  closeConnections (address: string): void
   close (): Promise<void>
 }
--- a/packages/node/src/node/daemon.ts
+++ b/packages/node/src/node/daemon.ts
@@ -256,7 +256,7 @@
       draining: Number(status.isDraining),
       programs: status.programs,
       open_requests: status.openRequests,
-      held_slots: status.heldSlots,
+      held_slots: status.openSlotTickets,
       journal_backlog_records: status.journalBacklog,
       journal_appends: status.journalAppends,
       log_healthy: Number(status.isLogHealthy),
--- a/packages/node/src/node/routed/clusterView.ts
+++ b/packages/node/src/node/routed/clusterView.ts
@@ -95,12 +95,12 @@
 
   /** Time since the last response of the log to this node. */
   get sinceLogResponseMs (): number {
-    return Math.min(this._options.sinceMembershipConfirmedMs(), this._documentFollower.silenceMs, this._workerFollower.silenceMs, this._nodeFollower.silenceMs)
+    return Math.min(this._options.sinceMembershipConfirmedMs(), this._documentFollower.sinceLastReadMs, this._workerFollower.sinceLastReadMs, this._nodeFollower.sinceLastReadMs)
   }
 
   /** True if the active document can't be out of date by more than a few seconds. */
   get isDocumentFresh (): boolean {
-    const isReadHere = this._documentFollower.content !== undefined && this._documentFollower.silenceMs < DOCUMENT_FRESH_MS
+    const isReadHere = this._documentFollower.content !== undefined && this._documentFollower.sinceLastReadMs < DOCUMENT_FRESH_MS
     return isReadHere ||
       this._options.directory.alive.some(status => status.logSilenceMs < DOCUMENT_FRESH_MS && status.documentVersion <= this._options.routes.version)
   }
@@ -110,15 +110,15 @@
       topic,
       log: this._options.log,
       onRecord: record => {
-        this._snapshots.noteChanged()
+        this._snapshots.markChanged()
         onRecords([record])
       },
       onContent: records => {
-        this._snapshots.noteChanged()
+        this._snapshots.markChanged()
         onContent(records)
       },
       onReachable: isReachable => this._handleReachability(topic, isReachable),
-      readElsewhere: async () => await this._readFromPeersOrSnapshots(topic),
+      readFallback: async () => await this._readFromPeersOrSnapshots(topic),
       write: (event, fields) => this._write('warn', event, fields)
     })
   }
--- a/packages/node/src/node/routed/partitionHost.ts
+++ b/packages/node/src/node/routed/partitionHost.ts
@@ -39,7 +39,7 @@
   /** Milliseconds since the log last answered this node. */
   logSilenceMs: () => number
   /** True while at least one peer is alive from the point of view of this node. */
-  hearsPeers: () => boolean
+  hasLivePeers: () => boolean
   random: IRandom
   /** Called when the set of served partitions may have changed. */
   onChanged: () => void
@@ -99,7 +99,7 @@
   }
 
   /** Gives up the partitions that a peer serves under a higher epoch. The log may be unreachable and unable to fence this node. */
-  noteOwners (owned: ReadonlyArray<readonly [partition: number, epoch: number]>): void {
+  applyPeerOwnership (owned: ReadonlyArray<readonly [partition: number, epoch: number]>): void {
     for (const [partition, epoch] of owned) {
       const owner = this._owners.get(partition)
       if (owner !== undefined && owner.epoch < epoch) this._removeOwner(owner, 'replaced')
@@ -113,7 +113,7 @@
   }
 
   /** Milliseconds since the last join that the log confirmed was sent; infinite before the first. */
-  get joinSilenceMs (): number {
+  get sinceLastJoinMs (): number {
     return steadyNowMs() - this._lastJoinSentMs
   }
 
@@ -166,7 +166,7 @@
     for (const owner of [...this._owners.values()]) this._removeOwner(owner, 'isolated')
     await this._leaveGroup()
     const retryAtMs = steadyNowMs() + ISOLATED_RETRY_MS
-    while (!this._options.hearsPeers() && steadyNowMs() < retryAtMs && !this._isStopped) await delay(SETTLING_JOIN_MS)
+    while (!this._options.hasLivePeers() && steadyNowMs() < retryAtMs && !this._isStopped) await delay(SETTLING_JOIN_MS)
     this._withoutPeersSinceMs = undefined
   }
 
@@ -185,7 +185,7 @@
     const hasChanged = generation !== this._generation
     this._generation = generation
     const hasOtherMembers = partitions.length < this._options.partitionCount
-    if (!hasOtherMembers || this._options.hearsPeers()) this._withoutPeersSinceMs = undefined
+    if (!hasOtherMembers || this._options.hasLivePeers()) this._withoutPeersSinceMs = undefined
     else this._withoutPeersSinceMs ??= steadyNowMs()
     const assigned = new Set(partitions.filter(partition => partition < this._options.partitionCount))
     if (hasChanged) this._membershipChangedAtMs = steadyNowMs()
--- a/packages/node/src/node/routed/partitionOwner.ts
+++ b/packages/node/src/node/routed/partitionOwner.ts
@@ -173,7 +173,7 @@
       this._options.write('accountOutOfOrder', { partition: this.partition, recordKey: key })
       return
     }
-    if (!this._state.fold(value, Date.now())) this._options.write('recordDamaged', { partition: this.partition, recordKey: key })
+    if (!this._state.applyRecord(value, Date.now())) this._options.write('recordDamaged', { partition: this.partition, recordKey: key })
   }
 
   /** Starts to grant turns, once all accounts are read. Turns that continue an unread one stay undecided until the history is complete. */
@@ -191,7 +191,7 @@
 
   /** Number of tokens that a program has used and reserved; 0 for an unknown program. */
   committedOf (programId: string): number {
-    return this._state.committedOf(programId)
+    return this._state.committedTokensOf(programId)
   }
 
   /** Decides on a turn, which is recorded at its end if `isRetained`. When this returns, its reservation is queued for the log. */
@@ -212,7 +212,7 @@
   async end (end: TurnEnd): Promise<RecordOutcome> {
     const pending = this._pendingEnds.get(end.requestId)
     if (pending !== undefined) return await pending
-    const records = this._state.end(end, Date.now())
+    const records = this._state.recordEnd(end, Date.now())
     if (records.length === 0) return 'recorded'
     if (end.turn === undefined) {
       this._queue.appendLazily(records)
@@ -253,7 +253,7 @@
   async close (timeoutMs: number): Promise<void> {
     if (this._ownerState !== OwnerState.Serving) return
     this._isClosing = true
-    this._queue.appendLazily(this._state.seal(Date.now()))
+    this._queue.appendLazily(this._state.sealAccounts(Date.now()))
     this._queue.flushLazy()
     const untilMs = steadyNowMs() + timeoutMs
     while (this.backlog > 0 && this._ownerState === OwnerState.Serving && steadyNowMs() < untilMs) await delay(CLOSE_POLL_MS)
--- a/packages/node/src/node/routed/poisonRequestDetector.ts
+++ b/packages/node/src/node/routed/poisonRequestDetector.ts
@@ -76,7 +76,7 @@
   private _addCrash (fingerprint: string, worker: string, atMs: number): void {
     const servedAtMs = this._servedAtMs.get(fingerprint)
     if (servedAtMs !== undefined && steadyNowMs() - servedAtMs < OBSERVATION_RETENTION_MS) return
-    if (!this._suspects.add(fingerprint, worker, atMs)) return
+    if (!this._suspects.addCrash(fingerprint, worker, atMs)) return
     this._options.write('requestQuarantined', { fingerprint, workers: [...this._suspects.crashedWorkers(fingerprint)].join() })
   }
 }
--- a/packages/node/src/node/routed/routedCall.ts
+++ b/packages/node/src/node/routed/routedCall.ts
@@ -1,6 +1,6 @@
 /** Handles one routed request: obtains the grant of its turn, sends it to workers, forwards the answer and reports the turn's end to the owner. */
 import {
-  AttemptOutcome, type GrantRequest, type LogFields, type NextStep, resolveNextStep, type Route, type RoutedService, RouteKind, type TurnEnd, type WorkerRegistration
+  AttemptOutcome, type GrantRequest, type LogFields, type NextAction, resolveNextAction, type Route, type RoutedService, RouteKind, type TurnEnd, type WorkerRegistration
 } from '@trefoilshunt/core'
 import { type IAnswerSink, type Refusal, RefusalReason, type RoutedRequest } from '../../common/routed/routedRequest.js'
 import { steadyNowMs } from '../steadyClock.js'
@@ -48,7 +48,7 @@
   }
 
   start (): void {
-    this._sink.onGone = () => this._onCallerDisconnected()
+    this._sink.onCallerDisconnected = () => this._onCallerDisconnected()
     this._expiryTimer = setTimeout(() => this._expire(), Math.max(0, this._timeLeftMs))
     if (this._needsGrant) void this._requestGrant()
     else this._startAttempt()
@@ -247,20 +247,20 @@
     // Events held back until the reservation is recorded are forwarded first: the next attempt resumes after the last forwarded event.
     this._relay.whenForwarding(() => {
       if (this._isDone) return
-      const next = resolveNextStep(attemptOutcome, { route: this._route, sentCount: this._sentCount, unsentCount: this._unsentCount, mayHaveRun: this._mayHaveRun, hasAnswerBegun: this._relay.hasBegun, timeLeftMs: this._timeLeftMs })
+      const next = resolveNextAction(attemptOutcome, { route: this._route, sentCount: this._sentCount, unsentCount: this._unsentCount, mayHaveRun: this._mayHaveRun, hasAnswerBegun: this._relay.hasBegun, timeLeftMs: this._timeLeftMs })
       this._log('attemptFailed', { worker: worker?.workerId, fate: attemptOutcome, detail, next: next.type, sent: this._sentCount })
       this._applyNextStep(next, detail, reason)
     })
   }
 
-  private _applyNextStep (next: NextStep, detail: string, reason: RefusalReason): void {
+  private _applyNextStep (next: NextAction, detail: string, reason: RefusalReason): void {
     if (this._isDone) return
     if (next.type === 'again' || next.type === 'resume') this._startAttempt()
     else this._endWithoutAnswer(next, detail, reason)
   }
 
   /** Ends the request without a complete answer: aborts an answer that has begun, else refuses the request. */
-  private _endWithoutAnswer (next: NextStep, detail: string, reason: RefusalReason = RefusalReason.FateUnknown): void {
+  private _endWithoutAnswer (next: NextAction, detail: string, reason: RefusalReason = RefusalReason.FateUnknown): void {
     if (this._isDone) return
     this._reportTurnEnd(this._usedTokens)
     if (this._relay.hasBegun) this._abort(detail)
--- a/packages/node/src/node/routed/routedDaemon.ts
+++ b/packages/node/src/node/routed/routedDaemon.ts
@@ -115,7 +115,7 @@
       onConnected: peer => write('peerConnected', { peer }),
       onDisconnected: (peer, detail) => {
         write('peerLost', { peer, detail })
-        this._statistics.dropPeer(peer)
+        this._statistics.removePeerLoad(peer)
         this._directory.markDisconnected(peer)
       }
     })
@@ -128,7 +128,7 @@
       maxAppendBytes: _options.maxAppendBytes,
       memberTtlMs: _options.memberTtlMs,
       logSilenceMs: () => this._clusterView.sinceLogResponseMs,
-      hearsPeers: () => this._directory.alive.length > 0,
+      hasLivePeers: () => this._directory.alive.length > 0,
       random: container.resolve<IRandom>(IRandom),
       onChanged: () => this._statusBroadcast.send(),
       write
@@ -147,12 +147,12 @@
       registry: this._registry,
       directory: this._directory,
       mesh: this._mesh,
-      sinceMembershipConfirmedMs: () => this._partitionHost.joinSilenceMs,
+      sinceMembershipConfirmedMs: () => this._partitionHost.sinceLastJoinMs,
       write: (level, event, fields) => this._write(level, event, fields)
     })
     this._registry.onDidLoseWorker(({ workerId, address }) => {
-      this._statistics.forget(workerId)
-      _options.workers.forget(address)
+      this._statistics.removeWorker(workerId)
+      _options.workers.closeConnections(address)
       write('workerLost', { worker: workerId, address, isDraining: this._registry.find(workerId)?.isDraining })
     })
     this._callDependencies = {
@@ -292,7 +292,7 @@
   private _applyStatus (status: NodeStatus): void {
     this._directory.applyStatus(status)
     this._statistics.setPeerLoad(status.from.node, status.load)
-    this._partitionHost.noteOwners(status.owned)
+    this._partitionHost.applyPeerOwnership(status.owned)
     this._poisonRequestDetector.applyPeerCrashes(status.crashes ?? [])
     if (status.documentVersion > this._routes.version) void this._clusterView.fetchDocument(status.from.node)
   }
--- a/packages/node/src/node/routed/topicFollower.ts
+++ b/packages/node/src/node/routed/topicFollower.ts
@@ -22,7 +22,7 @@
   /** Called when reads of the log begin to succeed or to fail. */
   onReachable: (isReachable: boolean) => void
   /** Reads the content from peers or snapshots while the log can't be read; undefined when none has it. */
-  readElsewhere: () => Promise<KeyedRecord[] | undefined>
+  readFallback: () => Promise<KeyedRecord[] | undefined>
   /** Writes a log line. */
   write: (event: string, fields: LogFields) => void
 }
@@ -60,7 +60,7 @@
   }
 
   /** Milliseconds since the log last answered a read; since the creation before the first answer. */
-  get silenceMs (): number {
+  get sinceLastReadMs (): number {
     return steadyNowMs() - this._lastReadAtMs
   }
 
@@ -92,7 +92,7 @@
         retryMs = RETRY_MS
         continue
       }
-      if (!this._hasContent || this.silenceMs > FALLBACK_AFTER_MS) await this._readFallback()
+      if (!this._hasContent || this.sinceLastReadMs > FALLBACK_AFTER_MS) await this._readFallback()
       await delay(retryMs)
       retryMs = Math.min(MAX_RETRY_MS, retryMs * 2)
     }
@@ -106,7 +106,7 @@
     for (;;) {
       const page = await log.readNewest({ topic, partition: 0, afterKey, timeoutMs: READ_NEWEST_TIMEOUT_MS })
       if (page.type === 'failed') {
-        write('topicReadFailed', { topic, detail: page.detail, silenceMs: Math.round(this.silenceMs) })
+        write('topicReadFailed', { topic, detail: page.detail, silenceMs: Math.round(this.sinceLastReadMs) })
         return false
       }
       records.push(...page.records)
@@ -125,7 +125,7 @@
     const { log, topic, write } = this._options
     const result = await log.read({ topic, partition: 0, fromOffset, waitMs: READ_WAIT_MS, timeoutMs: READ_WAIT_MS + READ_SLACK_MS })
     if (result.type === 'failed') {
-      write('topicReadFailed', { topic, detail: result.detail, silenceMs: Math.round(this.silenceMs) })
+      write('topicReadFailed', { topic, detail: result.detail, silenceMs: Math.round(this.sinceLastReadMs) })
       return false
     }
     if (result.type === 'truncated') {
@@ -143,7 +143,7 @@
   }
 
   private async _readFallback (): Promise<void> {
-    const records = await this._options.readElsewhere()
+    const records = await this._options.readFallback()
     if (records === undefined || this._isStopped) return
     this._replaceContent(records)
   }
--- a/packages/node/src/node/routed/topicSnapshots.ts
+++ b/packages/node/src/node/routed/topicSnapshots.ts
@@ -59,7 +59,7 @@
   }
 
   /** To be called when a record of a topic with a snapshot has changed, so that the snapshots are updated. */
-  noteChanged (): void {
+  markChanged (): void {
     this._changeCount++
   }
 
--- a/packages/node/src/node/routed/workerAttempt.ts
+++ b/packages/node/src/node/routed/workerAttempt.ts
@@ -35,7 +35,7 @@
 
   constructor (private readonly _options: WorkerAttemptOptions) {
     const { dependencies, route, worker, prompt, call, listener } = _options
-    dependencies.statistics.begin(worker.workerId)
+    dependencies.statistics.beginRequest(worker.workerId)
     dependencies.statistics.recordPrompt(worker.workerId, prompt)
     const noResponseMs = Math.max(NO_RESPONSE_MS, NO_RESPONSE_DURATIONS * dependencies.durations.expectedMs(route))
     this._noResponseTimer = setTimeout(() => this._recordFailure(1), noResponseMs)
@@ -97,7 +97,7 @@
 
   private _end (durationRatio?: number): void {
     clearTimeout(this._noResponseTimer)
-    this._options.dependencies.statistics.end(this.worker.workerId, durationRatio)
+    this._options.dependencies.statistics.endRequest(this.worker.workerId, durationRatio)
   }
 
   private _recordFailure (severity: number): void {
--- a/packages/node/test/node/routed/ownerSearch.test.ts
+++ b/packages/node/test/node/routed/ownerSearch.test.ts
@@ -76,7 +76,7 @@
       maxAppendBytes: 20_000,
       memberTtlMs: TTL_MS,
       logSilenceMs: () => 0,
-      hearsPeers: () => true,
+      hasLivePeers: () => true,
       random,
       onChanged: () => {},
       write: () => {}
--- a/packages/node/test/node/routed/partitionHost.test.ts
+++ b/packages/node/test/node/routed/partitionHost.test.ts
@@ -18,7 +18,7 @@
     maxAppendBytes: 100_000,
     memberTtlMs,
     logSilenceMs: () => 0,
-    hearsPeers: hasPeers,
+    hasLivePeers: hasPeers,
     random: new SeededRandom(member.length),
     onChanged: () => {},
     write: (event, fields) => { if (process.env.DBG !== undefined) console.log(Math.round(performance.now()), member, event, JSON.stringify(fields)) }
@@ -96,9 +96,9 @@
   second.start()
   await waitFor(() => second.served.length === PARTITIONS)
   assert.is(first.served.length, PARTITIONS, 'it has not learned of the new owner yet')
-  first.noteOwners(second.served.map(owner => [owner.partition, owner.epoch]))
+  first.applyPeerOwnership(second.served.map(owner => [owner.partition, owner.epoch]))
   assert.is(first.served.length, 0)
-  second.noteOwners([[0, 1]])
+  second.applyPeerOwnership([[0, 1]])
   assert.is(second.served.length, PARTITIONS, 'an older owner changes nothing')
   for (const host of [first, second]) host.close()
 })
--- a/packages/standins/src/common/toolService.ts
+++ b/packages/standins/src/common/toolService.ts
@@ -16,14 +16,14 @@
   /** Number of executions by the `checkId` of the body. */
   executions: Map<string, number>
   /** Executions in order. */
-  log: Array<{ checkId: string, programId: string, atMs: number, worker: string }>
+  executionLog: Array<{ checkId: string, programId: string, atMs: number, worker: string }>
   /** Answers by idempotency key. */
   answers: Map<string, ServiceResult>
 }
 
 /** Creates the empty state of a service. */
 export function createToolDatabase (): ToolDatabase {
-  return { executions: new Map(), log: [], answers: new Map() }
+  return { executions: new Map(), executionLog: [], answers: new Map() }
 }
 
 /** Body that the stand-in reads; a call without these fields is counted under an empty `checkId`. */
@@ -127,7 +127,7 @@
     const { checkId = '', programId = '' } = (call.body ?? {}) as ToolBody
     const count = (this.database.executions.get(checkId) ?? 0) + 1
     this.database.executions.set(checkId, count)
-    this.database.log.push({ checkId, programId, atMs: this._host.nowMs(), worker: this.options.name })
+    this.database.executionLog.push({ checkId, programId, atMs: this._host.nowMs(), worker: this.options.name })
     const result: ServiceResult = { type: 'service', status: 200, body: { checkId, execution: count } }
     if (key !== undefined) this.database.answers.set(key, result)
     return result
--- a/packages/testing/src/common/capacity/slopes.ts
+++ b/packages/testing/src/common/capacity/slopes.ts
@@ -153,7 +153,7 @@
     await fleet.runUntil(WARM_UP_MS)
     const before = { appends: fleet.log.appendCount, bytes: fleet.log.appendedBytes, cpu: totalKernelMs(fleet) }
     const record = new RunRecord()
-    const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets: TARGETS, streamEvery: 1 })
+    const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets: TARGETS, streamEvery: 1 })
     const random = new SeededRandom(seed)
     const runs = Array.from({ length: programs }, async (_, index) => {
       await fleet.clientHost.sleep(index * MEASURED_MS / programs)
@@ -203,7 +203,7 @@
   for (let index = 0; index < count; index++) {
     for (const record of createProgramRecords(index, turns, tokens)) foldJournalRecord(state, { offset: offset++, record })
   }
-  state.ids.clear()
+  state.recordIds.clear()
   return state
 }
 
--- a/packages/testing/src/common/checkers/checkFleet.ts
+++ b/packages/testing/src/common/checkers/checkFleet.ts
@@ -10,7 +10,7 @@
 /** Events of a run that the checks of the fleet need. */
 export interface FleetEvidence {
   /** Every activation of a revision by a node. */
-  inForce: Array<{ node: string, incarnation: string, revision: number, atMs: number }>
+  revisionActivations: Array<{ node: string, incarnation: string, revision: number, atMs: number }>
   /** Configuration changes whose acceptance was reported to an operator. */
   accepted: Array<{ revision: number, baseRevision: number, atMs: number }>
   /** Workers that leave, and the time from which the VM list marks them as leaving. */
@@ -29,7 +29,7 @@
 }
 
 /** The active revision of one incarnation of a node never decreases. */
-export function checkRevisions ({ inForce: activations }: FleetEvidence): Violation[] {
+export function checkRevisions ({ revisionActivations: activations }: FleetEvidence): Violation[] {
   const highest = new Map<string, number>()
   return activations.flatMap(({ node, incarnation, revision, atMs }) => {
     const nodeRun = `${node}/${incarnation}`
@@ -40,7 +40,7 @@
 }
 
 /** Of concurrent changes of one revision at most one is accepted; at the end every live node has it, and undisturbed nodes activated it in time. */
-export function checkAccepted (fleet: Fleet, { accepted, inForce: activations }: FleetEvidence): Violation[] {
+export function checkAccepted (fleet: Fleet, { accepted, revisionActivations: activations }: FleetEvidence): Violation[] {
   const violations: Violation[] = []
   const bases = accepted.map(change => change.baseRevision)
   if (new Set(bases).size !== bases.length) violations.push({ rule: 'one change wins', detail: 'two changes of the same revision were accepted' })
--- a/packages/testing/src/common/checkers/checkRun.ts
+++ b/packages/testing/src/common/checkers/checkRun.ts
@@ -48,7 +48,7 @@
 /** A "not run" reply is true: the step did not run before the reply, and never ran if the reply was the last one. */
 export function checkNotRun ({ record, databases }: RunEvidence): Violation[] {
   const firstRunAtMs = new Map<string, number>()
-  for (const { log } of databases) {
+  for (const { executionLog: log } of databases) {
     for (const { checkId, atMs } of log) firstRunAtMs.set(checkId, Math.min(atMs, firstRunAtMs.get(checkId) ?? Infinity))
   }
   return record.steps.filter(step => step.checkId !== '').flatMap(step => {
@@ -112,7 +112,7 @@
   const lastStep = new Map<string, number>()
   const violations: Violation[] = []
   const seen = new Set<string>()
-  for (const { checkId } of databases.flatMap(database => database.log).sort((left, right) => left.atMs - right.atMs)) {
+  for (const { checkId } of databases.flatMap(database => database.executionLog).sort((left, right) => left.atMs - right.atMs)) {
     const separator = checkId.lastIndexOf('/')
     if (separator < 0 || seen.has(checkId)) continue
     seen.add(checkId)
--- a/packages/testing/src/common/experiments/bounds.ts
+++ b/packages/testing/src/common/experiments/bounds.ts
@@ -1,7 +1,7 @@
 /** The users' performance requirements as bounds on the figures of an experiment. */
 import { atLeast, atMost, type BoundResult, type ExperimentFigures } from './experiment.js'
 import { engineTokensPerSecond, rateWithin } from './oracle.js'
-import { isWithinTarget, latencyPercentile, type Measurement, select, shareOf, tokenRate, wastedShare, type ProgramSample } from './measurement.js'
+import { isWithinTarget, latencyPercentile, type Measurement, selectSamples, shareOf, tokenRate, wastedShare, type ProgramSample } from './measurement.js'
 
 const LOSS_RECOVERY_MS = 5_000
 const LOSS_WINDOW_MS = 30_000
@@ -20,8 +20,8 @@
 /** Urgent programs that arrive in the window, compared with the same programs in the quiet run. */
 export function urgentBounds ({ spec, ours, steady }: ExperimentFigures): BoundResult[] {
   const isUrgent = (sample: ProgramSample) => sample.rank === 'urgent'
-  const flooded = select(ours, spec.window, isUrgent)
-  const quiet = select(steady, spec.window, isUrgent)
+  const flooded = selectSamples(ours, spec.window, isUrgent)
+  const quiet = selectSamples(steady, spec.window, isUrgent)
   return [
     atLeast('urgent within target, relative to steady', shareOf(flooded, isWithinTarget) / shareOf(quiet, isWithinTarget), 0.99),
     atMost('urgent p95 latency, relative to steady', latencyPercentile(flooded, 95) / latencyPercentile(quiet, 95), 1.2)
@@ -50,7 +50,7 @@
 
 /** Goodput under overload relative to the oracle, the time to a refusal, and tokens spent on programs that did not finish. */
 export function goodputBounds ({ spec, ours, oracle }: ExperimentFigures): BoundResult[] {
-  const inWindow = select(ours, spec.window)
+  const inWindow = selectSamples(ours, spec.window)
   const goodput = inWindow.filter(isWithinTarget).length
   const endTimes = ours.samples.filter(isWithinTarget).flatMap(sample => sample.endedAtMs ?? [])
   return [
@@ -90,8 +90,8 @@
     const promptTokensPerToken = steady.prefillTokens / Math.max(1, steady.generatedTokens)
     const capacity = survivingEngines * engineTokensPerSecond(promptTokensPerToken)
     const achievableShare = Math.min(1, capacity / tokenRate(steady.series, window.fromMs, window.untilMs))
-    const achievableGoodput = select(steady, window, isWithinTarget).length * achievableShare
-    const goodput = select(ours, window, isWithinTarget).length
+    const achievableGoodput = selectSamples(steady, window, isWithinTarget).length * achievableShare
+    const goodput = selectSamples(ours, window, isWithinTarget).length
     return [atLeast(`goodput from 5 s after the loss at ${lossAtMs / 1_000} s, relative to what is possible`, goodput / achievableGoodput, 0.95)]
   }
 }
--- a/packages/testing/src/common/experiments/logCost.ts
+++ b/packages/testing/src/common/experiments/logCost.ts
@@ -4,7 +4,7 @@
 import { createPlan } from '../workload/programPlan.js'
 import { RunRecord, type StepObservation } from '../workload/runRecord.js'
 import { FITTING_SHAPE } from '../workload/shapes.js'
-import { createFirmFleet, putInForce } from './runPolicy.js'
+import { createFirmFleet, applyFirmDocument } from './runPolicy.js'
 import { HARROW } from './firms.js'
 import type { Fleet } from '../host/fleet.js'
 
@@ -43,7 +43,7 @@
 }
 
 /** Step latency in virtual time, by class of step: with a nearly idle log and with appends at the rate limit of the nodes. */
-export async function measureClaimCost (seed: number): Promise<StepLatency[]> {
+export async function measureIntentLatency (seed: number): Promise<StepLatency[]> {
   const idle = await runSteps(seed, 0.3, {})
   const atLimit = await runSteps(seed, 3, { logAppendBudgetPerSecond: 20 })
   return [...latenciesOf('log idle', idle), ...latenciesOf('appends at their limit (2.2/s a node)', atLimit)]
@@ -75,10 +75,10 @@
 
 async function runSteps (seed: number, programsPerSecond: number, settings: { logAppendBudgetPerSecond?: number }, onStart: (fleet: Fleet) => void = () => {}): Promise<StepObservation[]> {
   const fleet = createFirmFleet(HARROW, { name: 'log cost', settings }, seed)
-  await putInForce(fleet, HARROW)
+  await applyFirmDocument(fleet, HARROW)
   onStart(fleet)
   const record = new RunRecord()
-  const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets: TARGETS, stepTimeoutMs: STEP_TIMEOUT_MS })
+  const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets: TARGETS, stepTimeoutMs: STEP_TIMEOUT_MS })
   const random = new SeededRandom(seed)
   const count = Math.round(programsPerSecond * RUN_MS / 1_000)
   const runs = Array.from({ length: count }, async (_, index) => {
--- a/packages/testing/src/common/experiments/measurement.ts
+++ b/packages/testing/src/common/experiments/measurement.ts
@@ -80,7 +80,7 @@
 }
 
 /** Programs that arrived in the window and meet the condition, refused ones included. */
-export function select (measurement: Measurement, window: { fromMs: number, untilMs: number }, condition: (sample: ProgramSample) => boolean = () => true): ProgramSample[] {
+export function selectSamples (measurement: Measurement, window: { fromMs: number, untilMs: number }, condition: (sample: ProgramSample) => boolean = () => true): ProgramSample[] {
   return measurement.samples.filter(sample => sample.arrivedAtMs >= window.fromMs && sample.arrivedAtMs < window.untilMs && condition(sample))
 }
 
--- a/packages/testing/src/common/experiments/policies.ts
+++ b/packages/testing/src/common/experiments/policies.ts
@@ -3,7 +3,7 @@
 import type { Policy } from './experiment.js'
 
 /** The default settings of the project. */
-export const OURS: Policy = { name: 'trefoilshunt', settings: {} }
+export const DEFAULT_POLICY: Policy = { name: 'trefoilshunt', settings: {} }
 
 /** Round-robin placement, first-in first-out queues, no admission control, no cache moves. */
 export const ROUND_ROBIN: Policy = {
--- a/packages/testing/src/common/experiments/runExperiment.ts
+++ b/packages/testing/src/common/experiments/runExperiment.ts
@@ -3,7 +3,7 @@
 import type { BoundResult, ExperimentFigures, ExperimentSpec, Policy } from './experiment.js'
 import type { Measurement } from './measurement.js'
 import { computeOracle } from './oracle.js'
-import { BASELINES, OURS } from './policies.js'
+import { BASELINES, DEFAULT_POLICY } from './policies.js'
 import { runPolicy } from './runPolicy.js'
 
 /** What to run, and with which policies. */
@@ -26,7 +26,7 @@
 const steadyRuns = new Map<string, Promise<Measurement>>()
 
 /** Runs the policy under test, the quiet run and the baselines one after another in virtual time, and evaluates the bounds. */
-export async function runExperiment ({ spec, seed, baselines = BASELINES, policy = OURS }: RunExperimentOptions): Promise<ExperimentResult> {
+export async function runExperiment ({ spec, seed, baselines = BASELINES, policy = DEFAULT_POLICY }: RunExperimentOptions): Promise<ExperimentResult> {
   const arrivals = createArrivals(spec.streams, spec.durationMs, seed)
   const ours = await runPolicy({ spec, policy, seed, arrivals })
   const steady = await runSteady(spec, policy, seed)
--- a/packages/testing/src/common/experiments/runPolicy.ts
+++ b/packages/testing/src/common/experiments/runPolicy.ts
@@ -33,7 +33,7 @@
 export async function runPolicy (options: RunOptions): Promise<Measurement> {
   const { spec, policy, seed, arrivals } = options
   const fleet = createFirmFleet(spec.firm, policy, seed)
-  await putInForce(fleet, spec.firm)
+  await applyFirmDocument(fleet, spec.firm)
   const startMs = fleet.events.nowMs()
   const record = new RunRecord()
   const driver = createDriver(fleet, spec, record)
@@ -68,7 +68,7 @@
 }
 
 /** Applies the configuration document of a firm as an operator and waits 5 s of virtual time for all nodes to receive it. */
-export async function putInForce (fleet: Fleet, firm: FirmSize): Promise<void> {
+export async function applyFirmDocument (fleet: Fleet, firm: FirmSize): Promise<void> {
   await fleet.runUntil(WARM_UP_MS)
   const address = fleet.liveNodes()[0].identity.address
   const applied = fleet.send(address, { type: 'apply', environment: 'production', baseRevision: 0, document: firm.document, by: 'operator' }, { timeoutMs: APPLY_TIMEOUT_MS })
@@ -78,14 +78,14 @@
 
 function createDriver (fleet: Fleet, spec: ExperimentSpec, record: RunRecord): ProgramDriver {
   const targets = Object.fromEntries(spec.firm.document.workKinds.map(kind => [kind.name, { targetMs: kind.targetMs, rank: kind.rank }]))
-  return new ProgramDriver({ world: fleet.callerWorld, record, targets, stepTimeoutMs: STEP_TIMEOUT_MS })
+  return new ProgramDriver({ access: fleet.callerAccess, record, targets, stepTimeoutMs: STEP_TIMEOUT_MS })
 }
 
 function startFaults (fleet: Fleet, spec: ExperimentSpec, driver: ProgramDriver, seed: number): Array<Promise<void>> {
   const random = new SeededRandom(seed + 99)
   const context: FaultContext = {
     fleet,
-    evidence: { inForce: [], accepted: [], leaving: [] },
+    evidence: { revisionActivations: [], accepted: [], leaving: [] },
     document: spec.firm.document,
     random,
     run: async plan => { await driver.run(plan) },
--- a/packages/testing/src/common/host/fleet.ts
+++ b/packages/testing/src/common/host/fleet.ts
@@ -3,7 +3,7 @@
 import type { ICallerTransport, IClientHost, SendOptions, TransportResult } from '@trefoilshunt/client'
 import { LogService, type LogServiceOptions, type ModelEngine, type ModelEngineOptions, type ToolDatabase, type ToolService, VmList } from '@trefoilshunt/standins'
 import { flushPromises } from '../../node/flushPromises.js'
-import type { ICallerWorld } from '../workload/programDriver.js'
+import type { ICallerAccess } from '../workload/programDriver.js'
 import { EventQueue } from './eventQueue.js'
 import { VirtualBackends } from './virtualBackends.js'
 import { VirtualCallers } from './virtualCallers.js'
@@ -103,7 +103,7 @@
     this._clientRandom = new SeededRandom(this.options.seed + 1)
     this.log = new LogService(this.options.log, this.events)
     this.vmList = new VmList(this.options.vmListLagMs, this.events)
-    this.callerWorld.zones.push(...this.options.zones)
+    this.callerAccess.zones.push(...this.options.zones)
     this._links = new VirtualLinks(this.options.zoneDelayMs)
     this._backends = new VirtualBackends(this.events, this._links, this.vmList, this.options.zones)
     this._callers = new VirtualCallers(this.events, this._links, this.nodes)
@@ -206,7 +206,7 @@
   }
 
   /** How callers reach this fleet: clock, zones, node addresses and transport. */
-  readonly callerWorld: ICallerWorld = {
+  readonly callerAccess: ICallerAccess = {
     host: this.clientHost,
     zones: [],
     seeds: () => [...this.nodes.values()].map(node => node.identity.address),
--- a/packages/testing/src/common/scenario/faults.ts
+++ b/packages/testing/src/common/scenario/faults.ts
@@ -72,7 +72,7 @@
     case 'loseToolAnswers': return fleet.services.get(fault.worker)?.dropAnswers(fault.count)
     case 'raceOperators': return await raceOperators(context, fault.operators)
     case 'poison': return await runPoison(context, fault.resends)
-    case 'endlessProgram': return await context.run({ ...context.createPlan('other'), isHopeless: true, steps: Array.from({ length: ENDLESS_STEPS }, () => ({ type: 'model', promptTokens: 10, answerTokens: 5 })) })
+    case 'endlessProgram': return await context.run({ ...context.createPlan('other'), isExpectedToFail: true, steps: Array.from({ length: ENDLESS_STEPS }, () => ({ type: 'model', promptTokens: 10, answerTokens: 5 })) })
   }
 }
 
@@ -154,7 +154,7 @@
 
 async function runPoison ({ fleet, run, createPlan }: FaultContext, resends: number): Promise<void> {
   const plan = createPlan('other')
-  const poison: ProgramPlan = { ...plan, steps: [{ type: 'model', promptTokens: 50, answerTokens: 20 }], poisonStep: 0, isHopeless: true }
+  const poison: ProgramPlan = { ...plan, steps: [{ type: 'model', promptTokens: 50, answerTokens: 20 }], poisonStep: 0, isExpectedToFail: true }
   for (let round = 0; round <= resends; round++) {
     await run(poison)
     await fleet.clientHost.sleep(POISON_PAUSE_MS)
--- a/packages/testing/src/common/scenario/scenarioRunner.ts
+++ b/packages/testing/src/common/scenario/scenarioRunner.ts
@@ -57,7 +57,7 @@
 /** Runs one scenario to its end. The same scenario and options always give the same result. */
 export async function runScenario (scenario: Scenario, options: ScenarioOptions = {}): Promise<ScenarioResult> {
   const document = options.document ?? documentOf(scenario)
-  const evidence: FleetEvidence = { inForce: [], accepted: [], leaving: [] }
+  const evidence: FleetEvidence = { revisionActivations: [], accepted: [], leaving: [] }
   const fleet = createFleet(scenario, document, evidence, options)
   options.onWillStart?.(fleet)
   fleet.startNodes()
@@ -94,7 +94,7 @@
     settings: { logRetentionMs: scenario.log.retentionMs, ...options.settings },
     onLog: (node, event, fields, atMs) => {
       options.onLog?.(`${atMs.toFixed(0)} ${node} ${event} ${JSON.stringify(fields)}`)
-      if (event === 'configurationInForce') evidence.inForce.push({ node, incarnation: fleet.nodes.get(node)?.identity.incarnation ?? '', revision: Number(fields.revision), atMs })
+      if (event === 'configurationInForce') evidence.revisionActivations.push({ node, incarnation: fleet.nodes.get(node)?.identity.incarnation ?? '', revision: Number(fields.revision), atMs })
     }
   })
   for (const backend of document.backends) {
@@ -115,7 +115,7 @@
 
 function createDriver (fleet: Fleet, record: RunRecord, document: ConfigurationDocument): ProgramDriver {
   const targets = Object.fromEntries(document.workKinds.map(kind => [kind.name, { targetMs: kind.targetMs, rank: kind.rank }]))
-  return new ProgramDriver({ world: fleet.callerWorld, record, targets, streamEvery: 2, stepTimeoutMs: STEP_TIMEOUT_MS, retriesOverload: true, openTimeoutMs: STEP_TIMEOUT_MS })
+  return new ProgramDriver({ access: fleet.callerAccess, record, targets, streamEvery: 2, stepTimeoutMs: STEP_TIMEOUT_MS, retriesOverload: true, openTimeoutMs: STEP_TIMEOUT_MS })
 }
 
 /** Starts programs and faults at their times; resolves when all of them have ended. */
@@ -166,7 +166,7 @@
 
 function checkExpectations (scenario: Scenario, counts: ScenarioCounts, record: RunRecord): Violation[] {
   const { minFinishedShare, maxUnknown, maxWorkerCrashes } = scenario.expect
-  const expectedPrograms = record.programs.filter(program => !program.hasVanished && !program.isHopeless)
+  const expectedPrograms = record.programs.filter(program => !program.hasVanished && !program.isFailureExpected)
   const finished = expectedPrograms.filter(program => program.isFinished).length
   const violations: Violation[] = []
   if (finished < minFinishedShare * expectedPrograms.length) violations.push({ rule: 'expected share finishes', detail: `${finished} of ${expectedPrograms.length} programs finished` })
--- a/packages/testing/src/common/workload/programDriver.ts
+++ b/packages/testing/src/common/workload/programDriver.ts
@@ -11,7 +11,7 @@
 const FILLER = 'the seam at the left shoulder pulls when the rider leans into the wind and the collar rubs '
 
 /** How callers reach a fleet, over simulated links or real sockets. */
-export interface ICallerWorld {
+export interface ICallerAccess {
   readonly host: IClientHost
   readonly zones: string[]
   /** Addresses that a new client starts with. */
@@ -22,7 +22,7 @@
 
 /** Options of a `ProgramDriver`. */
 export interface DriverOptions {
-  world: ICallerWorld
+  access: ICallerAccess
   /** Receives the observation of every program. */
   record: RunRecord
   /** Target in milliseconds and rank of each work kind. */
@@ -51,13 +51,13 @@
   /** Runs one program, with its sub-agents, from its arrival to its end. Refusals and failed steps are recorded, not thrown. */
   async run (plan: ProgramPlan): Promise<ProgramObservation> {
     const observation = this._startObservation(plan.kind, plan.customer, answerTokensOf(plan.steps))
-    observation.isHopeless = plan.isHopeless === true
+    observation.isFailureExpected = plan.isExpectedToFail === true
     await this._runObserved(plan, observation, undefined)
     return observation
   }
 
   private async _runObserved (plan: ProgramPlan, observation: ProgramObservation, parent: ProgramSession | undefined): Promise<void> {
-    const { host } = this._options.world
+    const { host } = this._options.access
     const client = this._clientFor(plan.customer, observation.index)
     const opened = await client.open({ kind: plan.kind, parent, retriesOverload: this._options.retriesOverload, timeoutMs: this._options.openTimeoutMs })
     if (opened.isLeft()) {
@@ -82,7 +82,7 @@
       observation.hasVanished = index === plan.vanishesAtStep
       if (observation.hasVanished) return false
       if (step.type === 'pause') {
-        await this._options.world.host.sleep(step.durationMs)
+        await this._options.access.host.sleep(step.durationMs)
       } else if (step.type === 'children') {
         if (!await this._runChildren(plan, step.plans, session, observation)) return false
       } else {
@@ -114,7 +114,7 @@
       isRepeatable: call.type === 'model' || call.isRepeatable,
       prompt: call.type === 'model' ? call.messages[0].content : '',
       attempts: [],
-      startedAtMs: this._options.world.host.nowMs()
+      startedAtMs: this._options.access.host.nowMs()
     }
     observation.steps.push(stepObservation)
     this._stepObservations.set(`${session.programId}/${session.nextStep}`, stepObservation)
@@ -123,7 +123,7 @@
       timeoutMs: this._options.stepTimeoutMs ?? STEP_TIMEOUT_MS,
       onChunk: isStreamed ? text => { stepObservation.streamedText = text } : undefined
     })
-    stepObservation.endedAtMs = this._options.world.host.nowMs()
+    stepObservation.endedAtMs = this._options.access.host.nowMs()
     outcome.caseOf({
       Right: ({ result, durable }) => {
         stepObservation.result = result
@@ -155,13 +155,13 @@
       kind,
       rank: target.rank,
       customer,
-      arrivedAtMs: this._options.world.host.nowMs(),
+      arrivedAtMs: this._options.access.host.nowMs(),
       isFinished: false,
       steps: [],
       turns: [],
       wasClosed: false,
       hasVanished: false,
-      isHopeless: false,
+      isFailureExpected: false,
       plannedTokens,
       targetMs: target.targetMs
     }
@@ -171,12 +171,12 @@
 
   /** One client per customer and zone; each keeps its own list of node addresses. */
   private _clientFor (customer: string, index: number): Client {
-    const { host, zones } = this._options.world
+    const { host, zones } = this._options.access
     const zone = zones[index % zones.length]
     const key = `${customer}/${zone}`
     let client = this._clients.get(key)
     if (client === undefined) {
-      client = new Client({ customer, transport: this._options.world.transportOf(customer), host, seeds: this._options.world.seeds(), zone, onAttempt: attempt => this._recordAttempt(attempt) })
+      client = new Client({ customer, transport: this._options.access.transportOf(customer), host, seeds: this._options.access.seeds(), zone, onAttempt: attempt => this._recordAttempt(attempt) })
       this._clients.set(key, client)
     }
     return client
--- a/packages/testing/src/common/workload/programPlan.ts
+++ b/packages/testing/src/common/workload/programPlan.ts
@@ -22,7 +22,7 @@
   /** Index in `steps` of the step before which the caller leaves without closing the program; undefined if it stays. */
   vanishesAtStep?: number
   /** The program is expected to fail, so checks of finished programs leave it out. */
-  isHopeless?: boolean
+  isExpectedToFail?: boolean
 }
 
 /** Parameters of the distribution that the programs of one work kind are drawn from. */
--- a/packages/testing/src/common/workload/runRecord.ts
+++ b/packages/testing/src/common/workload/runRecord.ts
@@ -52,7 +52,7 @@
   /** The caller left without closing the program. */
   hasVanished: boolean
   /** The program was expected to fail, so checks of finished programs leave it out. */
-  isHopeless: boolean
+  isFailureExpected: boolean
   /** Answer tokens of all model steps of the plan. */
   plannedTokens: number
   targetMs: number
--- a/packages/testing/test/common/cacheEvents.test.ts
+++ b/packages/testing/test/common/cacheEvents.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert'
 import { type EngineRequest, IProgramTable } from '@trefoilshunt/core'
 import { ModelEngine, toPrompt } from '@trefoilshunt/standins'
-import { createFirmFleet, EventQueue, FITTING_SHAPE, HARROW, OURS, ProgramDriver, putInForce, RunRecord } from '@trefoilshunt/testing'
+import { createFirmFleet, EventQueue, FITTING_SHAPE, HARROW, DEFAULT_POLICY, ProgramDriver, applyFirmDocument, RunRecord } from '@trefoilshunt/testing'
 
 function createRequest (session: string): EngineRequest {
   return { type: 'model', model: 'm', messages: [{ role: 'user', content: toPrompt('x', 5) }], maxTokens: 5, priority: 0, session, retainMs: 0 }
@@ -20,10 +20,10 @@
 })
 
 test('a program whose history was evicted is no longer bound to its worker', async () => {
-  const fleet = createFirmFleet({ ...HARROW, engines: 2 }, OURS, 5)
-  await putInForce(fleet, HARROW)
+  const fleet = createFirmFleet({ ...HARROW, engines: 2 }, DEFAULT_POLICY, 5)
+  await applyFirmDocument(fleet, HARROW)
   const record = new RunRecord()
-  const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets: { fitting: { targetMs: 60_000, rank: 'urgent' } } })
+  const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets: { fitting: { targetMs: 60_000, rank: 'urgent' } } })
   const steps = [{ type: 'model', promptTokens: 100, answerTokens: 10 }, { type: 'pause', durationMs: 20_000 }, { type: 'model', promptTokens: 10, answerTokens: 10 }] as const
   const run = driver.run({ kind: 'fitting', customer: 'riders', service: FITTING_SHAPE.service, steps: [...steps] })
   await fleet.runUntil(fleet.events.nowMs() + 5_000)
--- a/packages/testing/test/common/checkers/brokenParts.test.ts
+++ b/packages/testing/test/common/checkers/brokenParts.test.ts
@@ -5,7 +5,7 @@
 import { type Fault, HARROW_DOCUMENT, runScenario, type Scenario, type ScenarioOptions, scenarioSchema } from '@trefoilshunt/testing'
 import { Configuration } from '../../../../core/src/common/configuration/configuration.js'
 import { Drain } from '../../../../core/src/common/drain/drain.js'
-import { EngineMemory } from '../../../../core/src/common/engines/engineMemory.js'
+import { EngineCacheCleanup } from '../../../../core/src/common/engines/engineCacheCleanup.js'
 import { CallerPort } from '../../../../core/src/common/kernel/callerPort.js'
 import { Membership } from '../../../../core/src/common/membership/membership.js'
 import { Journal, JournalEpoch } from '../../../../core/src/common/journal/journal.js'
@@ -93,7 +93,7 @@
 })
 
 test('engine memory that is never released is detected', async () => {
-  assert.ok(await withReplacedMethod(EngineMemory.prototype, '_release', () => () => {}, async () => await isDetected('no memory for gone programs', () => [])))
+  assert.ok(await withReplacedMethod(EngineCacheCleanup.prototype, '_release', () => () => {}, async () => await isDetected('no memory for gone programs', () => [])))
 })
 
 test('a planned stop that does not wait for open requests is detected', async () => {
--- a/packages/testing/test/common/pools.test.ts
+++ b/packages/testing/test/common/pools.test.ts
@@ -44,7 +44,7 @@
 
 async function flood (fleet: Fleet, programs: number, gapMs: number): Promise<RunRecord> {
   const record = new RunRecord()
-  const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets: TARGETS, retriesOverload: true, openTimeoutMs: 300_000 })
+  const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets: TARGETS, retriesOverload: true, openTimeoutMs: 300_000 })
   const random = new SeededRandom(9)
   const runs = Array.from({ length: programs }, async (_, index) => {
     await fleet.clientHost.sleep(index * gapMs)
--- a/packages/testing/test/common/steady.test.ts
+++ b/packages/testing/test/common/steady.test.ts
@@ -16,7 +16,7 @@
   await fleet.runWhile(applied, 10_000)
   await fleet.runUntil(6_000)
   const record = new RunRecord()
-  const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets: TARGETS, streamEvery: 2 })
+  const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets: TARGETS, streamEvery: 2 })
   const random = new SeededRandom(seed)
   const runs = Array.from({ length: 40 }, (_, index) => createPlan(index % 2 === 0 ? FITTING_SHAPE : FOLLOW_UP_SHAPE, random))
     .map(async (plan, index) => {
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -59,7 +59,7 @@
 async function measureHops (fleet: SoakFleet, target: 'owner' | 'other'): Promise<LatencyPercentiles> {
   const client = clientOf(fleet)
   const session = await openProgram(client)
-  const other = fleet.nodes.map(addressOf).find(address => address !== session.home)
+  const other = fleet.nodes.map(addressOf).find(address => address !== session.preferredAddress)
   return await sampleLatency(LATENCY_CALLS / 3, async index => {
     if (target === 'other') session.useAddress(other as string)
     const outcome = await session.step({ type: 'model', messages: [{ role: 'user', content: toPrompt(`hop ${index}`, ANSWER_TOKENS) }], maxTokens: ANSWER_TOKENS })
@@ -148,7 +148,7 @@
 }
 
 function clientOf (fleet: SoakFleet): Client {
-  return new Client({ customer: 'riders', transport: fleet.callerWorld.transportOf('riders'), host: realClientHost, seeds: fleet.callerWorld.seeds() })
+  return new Client({ customer: 'riders', transport: fleet.callerAccess.transportOf('riders'), host: realClientHost, seeds: fleet.callerAccess.seeds() })
 }
 
 async function openProgram (client: Client): Promise<ProgramSession> {
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -47,12 +47,12 @@
 }
 
 async function runPrograms (fleet: SoakFleet, record: RunRecord, random: SeededRandom, endMs: number): Promise<void> {
-  const driver = new ProgramDriver({ world: fleet.callerWorld, record, targets: TARGETS, streamEvery: 2, stepTimeoutMs: STEP_TIMEOUT_MS, retriesOverload: true, openTimeoutMs: STEP_TIMEOUT_MS })
+  const driver = new ProgramDriver({ access: fleet.callerAccess, record, targets: TARGETS, streamEvery: 2, stepTimeoutMs: STEP_TIMEOUT_MS, retriesOverload: true, openTimeoutMs: STEP_TIMEOUT_MS })
   const runs: Array<Promise<unknown>> = []
   while (Date.now() < endMs) {
     const shape = random.next() < 0.5 ? FITTING_SHAPE : FOLLOW_UP_SHAPE
     runs.push(driver.run(createPlan({ ...shape, maxTurns: 8, meanPauseMs: 400, toolShare: 0.8 }, random)))
-    await fleet.callerWorld.host.sleep(random.nextExponential(MEAN_ARRIVAL_MS))
+    await fleet.callerAccess.host.sleep(random.nextExponential(MEAN_ARRIVAL_MS))
   }
   await Promise.all(runs)
 }
@@ -60,7 +60,7 @@
 async function injectFaults (fleet: SoakFleet, random: SeededRandom, faultCounts: Map<FaultName, number>, violations: Violation[], endMs: number): Promise<void> {
   const pendingFaults: Array<Promise<void>> = []
   while (Date.now() < endMs) {
-    await fleet.callerWorld.host.sleep(random.nextExponential(MEAN_FAULT_GAP_MS))
+    await fleet.callerAccess.host.sleep(random.nextExponential(MEAN_FAULT_GAP_MS))
     const name = WEIGHTED_FAULTS[random.nextInt(WEIGHTED_FAULTS.length)]
     const node = random.sample(fleet.nodes.filter(candidate => candidate.exitStatus === undefined && !candidate.isStopped), 1).at(0)
     const unavailableNodes = fleet.nodes.filter(candidate => candidate.exitStatus !== undefined || candidate.isStopped).length
@@ -73,7 +73,7 @@
 
 /** Injects one fault; resolves when the fault is over. */
 async function injectFault (name: FaultName, fleet: SoakFleet, node: SoakNode | undefined, random: SeededRandom, violations: Violation[]): Promise<void> {
-  const sleep = async (ms: number) => await fleet.callerWorld.host.sleep(ms)
+  const sleep = async (ms: number) => await fleet.callerAccess.host.sleep(ms)
   const engine = fleet.engines[random.nextInt(fleet.engines.length)]
   switch (name) {
     case 'kill':
@@ -113,12 +113,12 @@
   if (node === undefined) return
   node.isStopped = true
   // Until the daemon has installed its SIGTERM handler, the signal would kill it, so wait up to 10 s for it to respond.
-  for (let waits = 0; !await isHealthy(node) && waits < 100; waits++) await fleet.callerWorld.host.sleep(100)
+  for (let waits = 0; !await isHealthy(node) && waits < 100; waits++) await fleet.callerAccess.host.sleep(100)
   node.process.kill('SIGTERM')
-  for (let waits = 0; node.exitStatus === undefined && waits < 1_500; waits++) await fleet.callerWorld.host.sleep(100)
+  for (let waits = 0; node.exitStatus === undefined && waits < 1_500; waits++) await fleet.callerAccess.host.sleep(100)
   if (node.exitStatus?.code !== 0) violations.push({ rule: 'planned stops end cleanly', detail: `${node.name} ended with ${JSON.stringify(node.exitStatus)}` })
   if (node.exitStatus === undefined) node.process.kill('SIGKILL')
-  await fleet.callerWorld.host.sleep(200)
+  await fleet.callerAccess.host.sleep(200)
   fleet.restart(node)
 }
 
--- a/scripts/soakFleet.ts
+++ b/scripts/soakFleet.ts
@@ -8,7 +8,7 @@
 import { type ConfigurationDocument, type CoreSettings, VmRole, VmState } from '@trefoilshunt/core'
 import { HttpTransport, realClientHost } from '@trefoilshunt/client'
 import { createToolDatabase, EngineServer, type ModelEngineOptions, PlatformServer, type ToolDatabase, ToolServer } from '@trefoilshunt/standins'
-import type { ICallerWorld } from '@trefoilshunt/testing'
+import type { ICallerAccess } from '@trefoilshunt/testing'
 
 const PEER_SECRET = 'soak-fleet-shared-secret'
 const OPERATOR_KEY = 'soak-operator'
@@ -58,7 +58,7 @@
   }
 
   /** How callers reach this fleet. */
-  get callerWorld (): ICallerWorld {
+  get callerAccess (): ICallerAccess {
     return {
       host: realClientHost,
       zones: this._zones,
