--- a/packages/cli/src/common/capacityTable.ts
+++ b/packages/cli/src/common/capacityTable.ts
@@ -42,7 +42,7 @@
   const tokensPerStep = cost('tokens generated')
   const stepBytes = line('bytes in the log', 'step').slope
   const idleNodeCpu = valueAt(line('kernel time of an idle node', 'node'), nodes)
-  const coordinatorCpu = line('kernel time of an idle node', 'led worker').slope * coordinatedWorkers
+  const coordinatorCpu = line('kernel time of an idle node', 'coordinated worker').slope * coordinatedWorkers
   const documentBytes = cost('a change of configuration in the log')
   const historyBytes = line('memory of histories', 'token').slope
   return [
--- a/packages/testing/src/common/capacity/slopes.ts
+++ b/packages/testing/src/common/capacity/slopes.ts
@@ -133,8 +133,8 @@
     cpu.push({ x: workers / 12, y: idle.cpuShare })
   }
   return [
-    toSlope('load reports read, a node and second', 'led worker', 'calls/s', calls),
-    toSlope('kernel time of an idle node', 'led worker', 'core share', cpu)
+    toSlope('load reports read, a node and second', 'coordinated worker', 'calls/s', calls),
+    toSlope('kernel time of an idle node', 'coordinated worker', 'core share', cpu)
   ]
 }
 
@@ -265,7 +265,7 @@
     durations.push(meter.nowMs() - startedMs)
   }
   durations.sort((left, right) => left - right)
-  return [{ name: 'new VM list and lead table at 440 nodes and 2,400 workers', unit: 'ms', value: durations[3] }]
+  return [{ name: 'new VM list and coordinator table at 440 nodes and 2,400 workers', unit: 'ms', value: durations[3] }]
 }
 
 /** Time to fold a journal and the control stream. */
