--- a/packages/cli/test/node/localFleet.test.ts
+++ b/packages/cli/test/node/localFleet.test.ts
@@ -21,8 +21,8 @@
 }
 
 function createClient (fleet: LocalFleet): Client {
-  const { callerAccess: callerWorld } = fleet
-  return new Client({ customer: 'riders', transport: callerWorld.transportOf('riders'), host: realClientHost, seeds: callerWorld.seeds() })
+  const { callerAccess } = fleet
+  return new Client({ customer: 'riders', transport: callerAccess.transportOf('riders'), host: realClientHost, seeds: callerAccess.seeds() })
 }
 
 test('a planned stop while 50 streams run cuts off none of them', async () => {
--- a/packages/standins/src/common/keyedLog.ts
+++ b/packages/standins/src/common/keyedLog.ts
@@ -164,7 +164,7 @@
     }
     group.members.set(member, { lastJoinAtMs: this._options.nowMs(), ttlMs, generation })
     this._transferReleased(group)
-    const partitions = [...group.targets].filter(([partition, owner]) => owner === member && group.holders.get(partition) === member).map(([partition]) => partition)
+    const partitions = [...group.targets].filter(([partition, target]) => target === member && group.holders.get(partition) === member).map(([partition]) => partition)
     return { generation: group.generation, partitions }
   }
 
--- a/packages/testing/src/common/checkers/checkRun.ts
+++ b/packages/testing/src/common/checkers/checkRun.ts
@@ -48,8 +48,8 @@
 /** A "not run" reply is true: the step did not run before the reply, and never ran if the reply was the last one. */
 export function checkNotRun ({ record, databases }: RunEvidence): Violation[] {
   const firstRunAtMs = new Map<string, number>()
-  for (const { executionLog: log } of databases) {
-    for (const { checkId, atMs } of log) firstRunAtMs.set(checkId, Math.min(atMs, firstRunAtMs.get(checkId) ?? Infinity))
+  for (const { executionLog } of databases) {
+    for (const { checkId, atMs } of executionLog) firstRunAtMs.set(checkId, Math.min(atMs, firstRunAtMs.get(checkId) ?? Infinity))
   }
   return record.steps.filter(step => step.checkId !== '').flatMap(step => {
     const ranAtMs = firstRunAtMs.get(step.checkId)
--- a/packages/testing/src/common/experiments/experiment.ts
+++ b/packages/testing/src/common/experiments/experiment.ts
@@ -18,9 +18,9 @@
   service: string
   /** Number of service workers. */
   services: number
-  /** Network delay between availability zones. */
+  /** One-way network delay between availability zones; inside a zone it is a fifth of that. */
   zoneDelayMs: number
-  /** Network delay between callers and nodes. */
+  /** One-way network delay between callers and nodes. */
   callerDelayMs: number
 }
 
@@ -74,7 +74,7 @@
 /** Rates are counted from this time after the beginning of a window, when a flood has filled the queues. */
 export const RATE_FROM_MS = 60_000
 
-/** Upper bounds on goodput that no scheduler can exceed. */
+/** Upper bounds on the goodput of schedulers that know the length of every program in advance. */
 export interface OracleFigures {
   /** Number of programs of the window that end within target when a scheduler that knows their lengths admits them in order of arrival. */
   goodputInOrder: number
--- a/packages/testing/src/common/experiments/logCost.ts
+++ b/packages/testing/src/common/experiments/logCost.ts
@@ -43,7 +43,7 @@
 }
 
 /** Step latency in virtual time, by class of step: with a nearly idle log and with appends at the rate limit of the nodes. */
-export async function measureIntentLatency (seed: number): Promise<StepLatency[]> {
+export async function measureStepLatency (seed: number): Promise<StepLatency[]> {
   const idle = await runSteps(seed, 0.3, {})
   const atLimit = await runSteps(seed, 3, { logAppendBudgetPerSecond: 20 })
   return [...latenciesOf('log idle', idle), ...latenciesOf('appends at their limit (2.2/s a node)', atLimit)]
--- a/packages/testing/src/common/experiments/measurement.ts
+++ b/packages/testing/src/common/experiments/measurement.ts
@@ -94,7 +94,7 @@
   return samples.length === 0 ? 1 : samples.filter(condition).length / samples.length
 }
 
-/** A percentile (0 to 100) of the latencies of the finished programs, in milliseconds. */
+/** A percentile (0 to 100) of the latencies of the finished programs, in milliseconds; 0 when none finished. */
 export function latencyPercentile (samples: ProgramSample[], percentile: number): number {
   const histogram = hdr.build({ highestTrackableValue: MAX_LATENCY_MS, numberOfSignificantValueDigits: 3 })
   for (const sample of samples) {
--- a/packages/testing/src/common/host/fleet.ts
+++ b/packages/testing/src/common/host/fleet.ts
@@ -16,6 +16,7 @@
 const CUT_TIMEOUT_MS = 1_000
 const CALLER_PORT = 7300
 
+/** Options of a `Fleet`; those that are not given take the values of `DEFAULTS`. */
 export interface FleetOptions {
   /** Seed of all random numbers; the same options and seed give the same run. */
   seed: number
@@ -248,6 +249,8 @@
     for (const machine of machines) this.disturbances.push({ kind, machine, fromMs, untilMs: fromMs + forMs })
   }
 
+  // State
+
   /** Zone of a node or worker; empty for an unknown one. */
   zoneOf (machine: string): string {
     return this._links.zoneOf(machine)
--- a/packages/testing/src/common/host/virtualCallers.ts
+++ b/packages/testing/src/common/host/virtualCallers.ts
@@ -30,7 +30,7 @@
    * node cannot be reached, the connection breaks or `timeoutMs` has passed.
    * @param hops how many nodes have forwarded the request already.
    * @param delayMs one-way delay of the connection.
-   * @returns a function that abandons the request; the node receives `callerGone`, and `onFailure` is called.
+   * @returns a function that abandons the request; the node receives `callerGone`, and `onFailure` is called unless the request has ended.
    */
   deliver (address: string, request: CallerRequest, hops: number, delayMs: number, timeoutMs: number, onReply: (reply: CallerReply) => void, onFailure: (wasSent: boolean, detail: string) => void): () => void {
     const requestId = `q${++this._lastRequestNumber}`
--- a/packages/testing/src/common/scenario/scenarioRunner.ts
+++ b/packages/testing/src/common/scenario/scenarioRunner.ts
@@ -46,7 +46,7 @@
 export interface ScenarioOptions {
   /** Overrides of the core's settings. */
   settings?: Partial<CoreSettings>
-  /** Configuration document to use instead of the firm's. */
+  /** Configuration document to use unchanged instead of the firm's; the scenario's `budget` does not apply to it. */
   document?: ConfigurationDocument
   /** Called with the fleet before it starts. */
   onWillStart?: (fleet: Fleet) => void
--- a/packages/testing/src/common/workload/shapes.ts
+++ b/packages/testing/src/common/workload/shapes.ts
@@ -1,6 +1,7 @@
 /** Program shapes of the work kinds of the two firms. */
 import type { PlanShape } from './programPlan.js'
 
+/** Urgent work of Harrow & Lisle. */
 export const FITTING_SHAPE: PlanShape = {
   kind: 'fitting',
   customers: ['riders', 'dealers'],
@@ -17,8 +18,10 @@
   childShare: 0.1
 }
 
+/** Other work of Harrow & Lisle. */
 export const FOLLOW_UP_SHAPE: PlanShape = { ...FITTING_SHAPE, kind: 'follow-up', medianTurns: 6, firstPromptTokens: 300, answerTokens: 100, meanPauseMs: 2_500 }
 
+/** Urgent work of Plecionka. */
 export const PATTERN_SHAPE: PlanShape = {
   kind: 'pattern',
   customers: ['milliners'],
@@ -35,6 +38,7 @@
   childShare: 0.1
 }
 
+/** Other work of Plecionka: long sessions. */
 export const COACHING_SHAPE: PlanShape = {
   kind: 'coaching',
   customers: ['apprentices'],
