--- a/packages/core/src/common/programs/programRebuilder.ts
+++ b/packages/core/src/common/programs/programRebuilder.ts
@@ -51,7 +51,7 @@
     state.turns = turns
     state.spent = spendingOf(turns)
     state.spent.tokens += copy.possiblyUsedTokens
-    const program = { ...createLiveProgram(state, this._journal.current, this._clock.nowMs()), isInherited: true }
+    const program = { ...createLiveProgram(state, this._journal.current, this._clock.nowMs()), hasFormerOwner: true }
     this._logger.warn('programRebuilt', { program: copy.programId, turns: turns.length })
     this._programs.add(program)
     program.journal.append({ type: 'programSnapshot', program: cloneProgram(state) }, () => {})
