--- a/packages/core/src/common/configuration/document.ts
+++ b/packages/core/src/common/configuration/document.ts
@@ -65,7 +65,7 @@
   backends: z.array(backendSchema).min(1),
   /** Time without a step after which an open program counts as abandoned. */
   idleTimeoutMs: positiveInt.default(600_000),
-  /** Time for which a model call goes on after its caller disconnected, so that the caller can reconnect. */
+  /** Time for which a call that can be stopped goes on after its last caller disconnected, so that a caller can reconnect. */
   abandonGraceMs: positiveInt.default(5_000)
 }).superRefine(checkReferences)
 
--- a/packages/core/src/common/dispatch/modelDispatch.ts
+++ b/packages/core/src/common/dispatch/modelDispatch.ts
@@ -94,7 +94,7 @@
     @inject(IConfiguration) private readonly _configuration: IConfiguration,
     @inject(IMembership) private readonly _membership: IMembership,
     @inject(IPlacement) private readonly _placement: IPlacement,
-    @inject(ISlotRequester) private readonly _slots: ISlotRequester,
+    @inject(ISlotRequester) private readonly _slotRequester: ISlotRequester,
     @inject(IRetryBudget) private readonly _retryBudget: IRetryBudget,
     @inject(IOutliers) private readonly _outliers: IOutliers,
     @inject(IQuarantine) private readonly _quarantine: IQuarantine,
@@ -112,7 +112,7 @@
       configuration: this._configuration,
       membership: this._membership,
       placement: this._placement,
-      slots: this._slots,
+      slotRequester: this._slotRequester,
       retryBudget: this._retryBudget,
       outliers: this._outliers,
       quarantine: this._quarantine,
@@ -132,7 +132,7 @@
   configuration: IConfiguration
   membership: IMembership
   placement: IPlacement
-  slots: ISlotRequester
+  slotRequester: ISlotRequester
   retryBudget: IRetryBudget
   outliers: IOutliers
   quarantine: IQuarantine
@@ -195,7 +195,7 @@
     }
     const { programId, customer, kind, rank, isFirstStep, dueAtMs, deadlineMs, attainedSteps, promptTokens } = this._job
     const isSuspect = this._dependencies.quarantine.isSuspect(this._job.fingerprint)
-    this._slot = this._dependencies.slots.acquire({ worker, programId, customer, kind, rank, isFirstStep, dueAtMs, deadlineMs, attainedSteps, promptTokens, isSuspect }, answer => {
+    this._slot = this._dependencies.slotRequester.acquire({ worker, programId, customer, kind, rank, isFirstStep, dueAtMs, deadlineMs, attainedSteps, promptTokens, isSuspect }, answer => {
       if (this._isOver) return
       if (answer.type === 'granted') this._moveCache(worker, () => this._send(worker))
       else this._handleRefusal(answer.reason)
--- a/packages/core/src/common/drain/drain.ts
+++ b/packages/core/src/common/drain/drain.ts
@@ -129,7 +129,7 @@
     this._peers.request(target, offer, HANDOVER_OFFER_TIMEOUT_MS, answer => {
       const isAccepted = answer.type === 'answered' && answer.body.type === 'handoverAnswer' && answer.body.acceptedProgramIds.length === movable.length
       if (!isAccepted) {
-        this._cancelMove(movable)
+        this._cancelHandover(movable)
         return
       }
       const { node, incarnation, address } = answer.from
@@ -137,7 +137,7 @@
     })
   }
 
-  private _cancelMove (programs: LiveProgram[]): void {
+  private _cancelHandover (programs: LiveProgram[]): void {
     for (const program of programs) program.isInHandover = false
   }
 
--- a/packages/core/src/common/engines/engines.contribution.ts
+++ b/packages/core/src/common/engines/engines.contribution.ts
@@ -12,11 +12,11 @@
     container.registerSingleton(IModelPools, ModelPools)
   },
   create (container): IPlugin {
-    const memory = container.resolve(EngineCacheCleanup)
+    const cacheCleanup = container.resolve(EngineCacheCleanup)
     const orders = container.resolve(EngineOrders)
     return {
       start () {
-        memory.start()
+        cacheCleanup.start()
         orders.start()
       },
       dispose () {}
--- a/packages/core/src/common/engines/poolBalance.ts
+++ b/packages/core/src/common/engines/poolBalance.ts
@@ -5,7 +5,7 @@
   model: string
   /** Workers that are assigned to the model, the least loaded first. */
   workers: string[]
-  /** Running and waiting calls, and programs that were refused recently, at all of these workers. */
+  /** Running and waiting calls, and recent placement estimates that refused admission, at all of these workers. */
   load: number
 }
 
--- a/packages/core/src/common/forwarding/attemptOutcome.ts
+++ b/packages/core/src/common/forwarding/attemptOutcome.ts
@@ -60,9 +60,9 @@
   const { route, sentCount, unsentCount, mayHaveRun, hasAnswerBegun, timeLeftMs } = history
   const isTimeLeft = timeLeftMs > MIN_ATTEMPT_MS
   const maySendAgain = isTimeLeft && sentCount < route.maxAttempts
-  const retryStep: NextAction = hasAnswerBegun ? { type: 'resume' } : { type: 'again' }
-  const finalStep: NextAction = mayHaveRun ? { type: 'unknown' } : { type: 'notRun' }
-  if (outcome === AttemptOutcome.NotSent) return maySendAgain && unsentCount < MAX_UNSENT_ATTEMPTS ? retryStep : finalStep
-  if (outcome === AttemptOutcome.Refused) return maySendAgain ? retryStep : finalStep
-  return maySendAgain && isRepeatable(route) ? retryStep : { type: 'unknown' }
+  const retryAction: NextAction = hasAnswerBegun ? { type: 'resume' } : { type: 'again' }
+  const finalAction: NextAction = mayHaveRun ? { type: 'unknown' } : { type: 'notRun' }
+  if (outcome === AttemptOutcome.NotSent) return maySendAgain && unsentCount < MAX_UNSENT_ATTEMPTS ? retryAction : finalAction
+  if (outcome === AttemptOutcome.Refused) return maySendAgain ? retryAction : finalAction
+  return maySendAgain && isRepeatable(route) ? retryAction : { type: 'unknown' }
 }
--- a/packages/core/src/common/kernel/events.ts
+++ b/packages/core/src/common/kernel/events.ts
@@ -44,8 +44,10 @@
   | { type: 'logAppended', operationId: number, outcome: AppendOutcome }
   | { type: 'logRead', operationId: number, outcome: ReadOutcome }
   | { type: 'peerMessage', envelope: PeerEnvelope }
+  /** The message could not be delivered. */
   | { type: 'peerFailed', node: string, address: string, messageId: number }
   | { type: 'callerRequest', requestId: string, request: CallerRequest, hops: number }
+  /** The caller disconnected before the final reply. */
   | { type: 'callerGone', requestId: string }
   /** `wasSent` is false only when no byte reached the other node. */
   | { type: 'forwardFailed', requestId: string, wasSent: boolean }
--- a/packages/core/src/common/kernel/kernel.ts
+++ b/packages/core/src/common/kernel/kernel.ts
@@ -101,7 +101,7 @@
     const journal = this._container.resolve<IJournal>(IJournal)
     const configuration = this._container.resolve<IConfiguration>(IConfiguration)
     const membership = this._container.resolve<IMembership>(IMembership)
-    const retries = this._container.resolve<IRetryBudget>(IRetryBudget)
+    const retryBudget = this._container.resolve<IRetryBudget>(IRetryBudget)
     return {
       isReady: configuration.document !== undefined && !membership.isDraining,
       isDraining: membership.isDraining,
@@ -113,8 +113,8 @@
       isLogHealthy: journal.isHealthy,
       revision: configuration.revision,
       liveNodes: membership.liveCount,
-      firstAttempts: retries.firstAttemptCount,
-      retries: retries.retryCount
+      firstAttempts: retryBudget.firstAttemptCount,
+      retries: retryBudget.retryCount
     }
   }
 
--- a/packages/core/src/common/kernel/node.ts
+++ b/packages/core/src/common/kernel/node.ts
@@ -4,7 +4,7 @@
 export interface NodeRef {
   /** Name of the entry VM, for example `regina-2`. */
   node: string
-  /** Different for each start of the daemon on that VM. */
+  /** New at each start of the daemon on that VM and after each fence of its journal; a later one sorts after the earlier ones. */
   incarnation: string
   /** `host:port` of the caller API. */
   address: string
--- a/packages/core/src/common/kernel/settings.ts
+++ b/packages/core/src/common/kernel/settings.ts
@@ -22,9 +22,9 @@
    */
   probeFanout: number
   probeTimeoutMs: number
-  /** Failed probes in a row after which a peer counts as unreachable. */
+  /** Failed probes in a row after which a peer is suspected to be unavailable. */
   suspectAfterFailures: number
-  /** Time for which a node must be unreachable, or unlisted and without a message, before its programs are taken over. */
+  /** Time for which a node must be suspected, or unlisted and without a message, before its programs are taken over. */
   takeoverAfterMs: number
   /** Appends per second that all nodes together may use. */
   logAppendBudgetPerSecond: number
--- a/packages/core/src/common/peers/peerMessages.ts
+++ b/packages/core/src/common/peers/peerMessages.ts
@@ -122,7 +122,7 @@
 export interface WorkerLoad { worker: string, demand: number }
 export interface WorkerLoadAnswer { type: 'demandAnswer', workers: WorkerLoad[] }
 
-/** Queries which of the programs that hold engine memory are no longer open at the receiver, which should own them. */
+/** Queries which of the programs whose cache an engine holds are no longer open at the receiver, which should own them. */
 export interface HeldProgramsQuery { type: 'heldQuery', programIds: string[] }
 /** `gone` lists the queried programs that the answering node does not have, or has closed. */
 export interface HeldProgramsAnswer { type: 'heldAnswer', gone: string[] }
--- a/packages/core/src/common/programs/takeover.ts
+++ b/packages/core/src/common/programs/takeover.ts
@@ -39,7 +39,7 @@
   | { type: 'lost' }
   | { type: 'unavailable' }
 
-/** Transfers programs away from runs of the daemon that have ended. */
+/** Transfers programs away from runs of the daemon that have ended or whose node is unavailable. */
 export interface ITakeover {
   /** The id of the live node that should take a journal over; undefined when no live node is known. */
   resolveNewOwner (journal: string): string | undefined
--- a/packages/core/src/common/turns/turnTree.ts
+++ b/packages/core/src/common/turns/turnTree.ts
@@ -52,7 +52,7 @@
     return this._entries.get(turnId)?.turn
   }
 
-  /** Adds a turn and retains the turns before it that are already held at least as long. A known turn is not replaced. */
+  /** Adds a turn, and retains the held turns of the chain before it for at least as long. A known turn is not replaced. */
   add (turn: RetainedTurn, nowMs: number): void {
     const expiresAtMs = nowMs + turn.keepMs
     if (!this._entries.has(turn.turnId)) {
--- a/packages/core/src/common/workers/workerChoice.ts
+++ b/packages/core/src/common/workers/workerChoice.ts
@@ -80,7 +80,7 @@
  * kept on a few workers, until the queue there costs more than processing the prompt elsewhere.
  *
  * @example
- * choice.chooseWorker({ candidates, excluded: new Set(), zone: 'regina', durationMs: 300, prompt, nowMs })
+ * choice.chooseWorker({ candidates, excluded: new Set(), zone: 'regina', durationMs: 300, prompt, cached: [], isConnected: () => true, nowMs })
  */
 @injectable()
 export class WorkerChoice implements IWorkerChoice {
