--- a/packages/core/src/common/dispatch/quarantine.ts
+++ b/packages/core/src/common/dispatch/quarantine.ts
@@ -16,7 +16,7 @@
   recordCrash (fingerprint: string, worker: string): void
   /** Clears the suspicion against a request that a worker has served. A request in quarantine stays there. */
   recordRequestSuccess (fingerprint: string): void
-  /** True for 10 minutes after the first crash: the request may be its cause or may have been in flight by coincidence. */
+  /** True for 10 minutes after this node recorded the first crash: the request may be its cause or may have been in flight by coincidence. */
   isSuspect (fingerprint: string): boolean
   /** Workers that crashed while they ran the request. */
   crashedWorkers (fingerprint: string): Iterable<string>
--- a/packages/core/src/common/journal/journalRecords.ts
+++ b/packages/core/src/common/journal/journalRecords.ts
@@ -10,8 +10,8 @@
 }
 
 /**
- * The whole state of a program. It is recorded when the program is opened, taken over, handed over or restored from the
- * caller's history, and again before its records expire.
+ * The whole state of a program. It is recorded when the program is opened, taken over or handed over, when it is rebuilt or
+ * completed from the caller's copy of its history, and again before its records expire.
  */
 export interface ProgramSnapshot extends LogRecord {
   type: 'programSnapshot'
--- a/packages/core/src/common/membership/membership.ts
+++ b/packages/core/src/common/membership/membership.ts
@@ -44,7 +44,7 @@
 export interface IMembership {
   /** Fires after the set of usable nodes or workers may have changed. */
   readonly onDidChange: Event<void>
-  /** Fires with the name of a node that is suspected from now on. */
+  /** Fires with the name of a node when it becomes suspected. */
   readonly onDidSuspect: Event<string>
   /** Fires for every digest received in a probe or in its reply. */
   readonly onDidReceiveDigest: Event<NodeDigest>
--- a/packages/core/src/common/programs/liveProgram.ts
+++ b/packages/core/src/common/programs/liveProgram.ts
@@ -26,7 +26,7 @@
   /** The journal that records the program. */
   journal: IJournalEpoch
   running?: RunningStep
-  /** Steps that arrived before their turn, by number. */
+  /** Steps that wait for an earlier step or for the end of a handover, by number. */
   waiting: Map<number, CallerExchange<StepRequest>>
   /** What is reserved for running steps of the tree; kept at the root. */
   outstanding: Spending
--- a/packages/core/src/common/programs/programState.ts
+++ b/packages/core/src/common/programs/programState.ts
@@ -97,14 +97,14 @@
   })
 }
 
-/** The node run that opened a program, and the program's number there; the parts of its id. */
+/** The run of the daemon that opened a program, and the program's number there; the parts of its id. */
 export interface ProgramOrigin {
   node: string
   incarnation: string
   sequence: string
 }
 
-/** Formats the id of a program, which names the node run that opened it. */
+/** Formats the id of a program, which names the run of the daemon that opened it. */
 export function toProgramId (origin: ProgramOrigin): string {
   return `${origin.node}.${origin.incarnation}.${origin.sequence}`
 }
--- a/packages/core/src/common/programs/takeover.ts
+++ b/packages/core/src/common/programs/takeover.ts
@@ -54,7 +54,7 @@
 /** A takeover of one journal in progress. */
 interface TakeoverAttempt {
   journal: string
-  /** The node run that wrote the journal. */
+  /** The run of the daemon that wrote the journal. */
   writer: NodeRef
   onDoneCallbacks: Array<(isComplete: boolean) => void>
 }
