--- a/packages/core/src/common/programs/takeover.ts
+++ b/packages/core/src/common/programs/takeover.ts
@@ -39,7 +39,7 @@
   | { type: 'lost' }
   | { type: 'unavailable' }
 
-/** Transfers programs away from runs of the daemon that have ended. */
+/** Transfers programs away from runs of the daemon that have ended or whose node is unavailable. */
 export interface ITakeover {
   /** The id of the live node that should take a journal over; undefined when no live node is known. */
   resolveNewOwner (journal: string): string | undefined
@@ -54,7 +54,7 @@
 /** A takeover of one journal in progress. */
 interface TakeoverAttempt {
   journal: string
-  /** The node run that wrote the journal. */
+  /** The run of the daemon that wrote the journal. */
   writer: NodeRef
   onDoneCallbacks: Array<(isComplete: boolean) => void>
 }
