--- a/packages/node/src/common/routed/logClient.ts
+++ b/packages/node/src/common/routed/logClient.ts
@@ -92,7 +92,7 @@
   readNewest (request: NewestRequest): Promise<NewestResult>
   /** Joins a group, or renews the membership. */
   join (request: JoinRequest): Promise<JoinResult>
-  /** Leaves a group; false when the log did not confirm it. */
+  /** Leaves a group. False when the call failed, got no answer in time or was rejected by the log; it may still have been executed. */
   leave (group: string, member: string, timeoutMs: number): Promise<boolean>
   /** Closes the connections. */
   close (): Promise<void>
--- a/packages/node/src/common/routed/routedRequest.ts
+++ b/packages/node/src/common/routed/routedRequest.ts
@@ -30,7 +30,7 @@
   body: Uint8Array
   /** Time for which the caller waits, from the arrival of the request; undefined if it set no limit. */
   deadlineMs?: number
-  /** Steady time at which the request was completely read. */
+  /** Steady time at which the head of the request was received; its body may have arrived later. */
   arrivedAtMs: number
   affinityKey?: string
   prompt: PromptPart[]
--- a/packages/node/src/node/routed/partitionHost.ts
+++ b/packages/node/src/node/routed/partitionHost.ts
@@ -8,7 +8,7 @@
 const MEMBER_GROUP = 'turn-owners'
 /** Joins sent within one time to live of the membership, so that three of them may fail. */
 const JOINS_PER_TTL = 4
-/** Period of the joins while the membership changes: a partition moves only when its holder joins again. */
+/** Period of the joins while the membership changes: a partition moves only when its owner joins again. */
 const SETTLING_JOIN_MS = 50
 /** How long the short join period is used after a change of the membership. */
 const SETTLING_MS = 700
@@ -18,7 +18,7 @@
 const MIN_MEMBER_TIMEOUT_MS = 120
 /** How long a leaving node repeats the leave. After that its membership has nearly expired. */
 const LEAVE_TIMEOUT_MS = 800
-/** A node that has received nothing from any peer for this long, in a group with other members, counts as isolated. */
+/** A node that has had no live peer for this long, in a group with other members, counts as isolated. */
 const ISOLATED_AFTER_MS = 1_500
 /** An isolated node joins again after this even without peers, because the other members may have crashed. */
 const ISOLATED_RETRY_MS = 3_000
@@ -37,7 +37,7 @@
   /** Time without a join after which the group assigns the partitions to other members. */
   memberTtlMs: number
   /** Milliseconds since the log last answered this node. */
-  logSilenceMs: () => number
+  sinceLogResponseMs: () => number
   /** True while at least one peer is alive from the point of view of this node. */
   hasLivePeers: () => boolean
   random: IRandom
@@ -58,7 +58,7 @@
 export class PartitionHost {
   private readonly _owners = new Map<number, PartitionOwner>()
   /**
-   * Generation in which each partition was last fenced by another owner. The partition is taken again only when a later
+   * Generation in which each partition was last fenced by another owner. The partition is taken over again only when a later
    * generation assigns it.
    */
   private readonly _fencedGenerations = new Map<number, number>()
@@ -112,7 +112,7 @@
     return steadyNowMs() - this._lastJoinSentMs < memberTtlMs && Math.abs(Date.now() - this._lastJoinSentWallMs) < memberTtlMs
   }
 
-  /** Milliseconds since the last join that the log confirmed was sent; infinite before the first. */
+  /** Milliseconds since the sending of the last join that the log confirmed; infinite before the first. */
   get sinceLastJoinMs (): number {
     return steadyNowMs() - this._lastJoinSentMs
   }
@@ -201,14 +201,14 @@
   }
 
   private _addOwner (partition: number, generation: number): void {
-    const { log, maxRecordBytes, maxAppendBytes, logSilenceMs, random, onChanged, write } = this._options
+    const { log, maxRecordBytes, maxAppendBytes, sinceLogResponseMs, random, onChanged, write } = this._options
     const owner = new PartitionOwner({
       partition,
       generation,
       log,
       maxRecordBytes,
       maxAppendBytes,
-      logSilenceMs,
+      sinceLogResponseMs,
       random,
       write,
       onLost: (lost, detail) => this._removeOwner(lost, detail),
--- a/packages/node/src/node/routed/partitionOwner.ts
+++ b/packages/node/src/node/routed/partitionOwner.ts
@@ -37,7 +37,7 @@
   /** Size up to which queued appends are merged in one call. */
   maxAppendBytes: number
   /** Milliseconds since the log last answered this node. */
-  logSilenceMs: () => number
+  sinceLogResponseMs: () => number
   random: IRandom
   /** Called when another owner has fenced this one; the receiver calls `lose`. */
   onLost: (owner: PartitionOwner, detail: string) => void
@@ -186,11 +186,11 @@
 
   /** True while the log is slow or down, judged by the append in flight and by the time since the log last answered. */
   get isStalled (): boolean {
-    return this._queue.waitingMs > STALLED_AFTER_MS || this._options.logSilenceMs() > LOG_DOWN_AFTER_MS
+    return this._queue.waitingMs > STALLED_AFTER_MS || this._options.sinceLogResponseMs() > LOG_DOWN_AFTER_MS
   }
 
   /** Number of tokens that a program has used and reserved; 0 for an unknown program. */
-  committedOf (programId: string): number {
+  committedTokensOf (programId: string): number {
     return this._state.committedTokensOf(programId)
   }
 
--- a/packages/node/src/node/routed/routedCall.ts
+++ b/packages/node/src/node/routed/routedCall.ts
@@ -249,11 +249,11 @@
       if (this._isDone) return
       const next = resolveNextAction(attemptOutcome, { route: this._route, sentCount: this._sentCount, unsentCount: this._unsentCount, mayHaveRun: this._mayHaveRun, hasAnswerBegun: this._relay.hasBegun, timeLeftMs: this._timeLeftMs })
       this._log('attemptFailed', { worker: worker?.workerId, fate: attemptOutcome, detail, next: next.type, sent: this._sentCount })
-      this._applyNextStep(next, detail, reason)
+      this._applyNextAction(next, detail, reason)
     })
   }
 
-  private _applyNextStep (next: NextAction, detail: string, reason: RefusalReason): void {
+  private _applyNextAction (next: NextAction, detail: string, reason: RefusalReason): void {
     if (this._isDone) return
     if (next.type === 'again' || next.type === 'resume') this._startAttempt()
     else this._endWithoutAnswer(next, detail, reason)
--- a/packages/node/src/node/routed/routedDaemon.ts
+++ b/packages/node/src/node/routed/routedDaemon.ts
@@ -127,7 +127,7 @@
       maxRecordBytes: _options.maxRecordBytes,
       maxAppendBytes: _options.maxAppendBytes,
       memberTtlMs: _options.memberTtlMs,
-      logSilenceMs: () => this._clusterView.sinceLogResponseMs,
+      sinceLogResponseMs: () => this._clusterView.sinceLogResponseMs,
       hasLivePeers: () => this._directory.alive.length > 0,
       random: container.resolve<IRandom>(IRandom),
       onChanged: () => this._statusBroadcast.send(),
--- a/packages/node/src/node/routed/topicFollower.ts
+++ b/packages/node/src/node/routed/topicFollower.ts
@@ -31,7 +31,7 @@
  * Repeats failed reads until it is stopped. Every change of the content is passed to `onRecord` or `onContent`.
  *
  * @example
- * const follower = new TopicFollower({ topic: 'keyed.nodes', log, onRecord, onContent, onReachable, readElsewhere, write })
+ * const follower = new TopicFollower({ topic: 'keyed.nodes', log, onRecord, onContent, onReachable, readFallback, write })
  * follower.start()
  */
 export class TopicFollower {
--- a/packages/node/src/node/routed/turnService.ts
+++ b/packages/node/src/node/routed/turnService.ts
@@ -45,7 +45,7 @@
 }
 
 /**
- * Decides locally when this node owns the partition and requests the owner otherwise.
+ * Decides on turns locally when this node owns the partition, and otherwise sends the request to the owner.
  *
  * @example
  * const outcome = await turns.grant(request, true, steadyNowMs() + 1_000)
@@ -58,7 +58,7 @@
     return hash32(programId) % this._options.partitionCount
   }
 
-  /** Requests a turn of the owner, which is recorded at its end if `isRetained`. Repeats until `untilMs` while the outcome is `unavailable`. */
+  /** Requests a turn from the owner of the program's partition; the turn is recorded at its end if `isRetained`. Repeats until `untilMs` while the outcome is `unavailable`. */
   async grant (request: GrantRequest, isRetained: boolean, untilMs: number): Promise<GrantOutcome> {
     const partition = this.partitionOf(request.programId)
     let outcome: GrantOutcome = { type: 'unavailable', detail: 'no owner is known' }
@@ -151,7 +151,7 @@
       isRecorded: grant.type === 'granted' ? grant.recorded === undefined : undefined,
       isHistoryComplete: owner.isHistoryComplete,
       isLogStalled: owner.isStalled,
-      committedTokens: owner.committedOf(programId),
+      committedTokens: owner.committedTokensOf(programId),
       maxTokens,
       budgetTokens
     })
--- a/packages/node/test/node/routed/ownerSearch.test.ts
+++ b/packages/node/test/node/routed/ownerSearch.test.ts
@@ -75,7 +75,7 @@
       maxRecordBytes: 2_048,
       maxAppendBytes: 20_000,
       memberTtlMs: TTL_MS,
-      logSilenceMs: () => 0,
+      sinceLogResponseMs: () => 0,
       hasLivePeers: () => true,
       random,
       onChanged: () => {},
@@ -192,7 +192,7 @@
       }
       const lost = program.completedTurns.filter(turnId => owner.chainOf(turnId) === undefined)
       if (lost.length > 0) this.violations.push(`${program.id}: lost ${lost.join()}`)
-      const committed = owner.committedOf(program.id)
+      const committed = owner.committedTokensOf(program.id)
       if (committed < program.deliveredTokens) this.violations.push(`${program.id}: ${program.deliveredTokens} tokens were delivered, ${committed} are recorded`)
     }
   }
--- a/packages/node/test/node/routed/partitionHost.test.ts
+++ b/packages/node/test/node/routed/partitionHost.test.ts
@@ -9,7 +9,7 @@
 const PARTITIONS = 4
 const TTL_MS = 400
 
-function createHost (log: FakeLog, member: string, hasPeers: () => boolean = () => true, memberTtlMs = TTL_MS): PartitionHost {
+function createHost (log: FakeLog, member: string, hasLivePeers: () => boolean = () => true, memberTtlMs = TTL_MS): PartitionHost {
   return new PartitionHost({
     member,
     log,
@@ -17,8 +17,8 @@
     maxRecordBytes: 4_096,
     maxAppendBytes: 100_000,
     memberTtlMs,
-    logSilenceMs: () => 0,
-    hasLivePeers: hasPeers,
+    sinceLogResponseMs: () => 0,
+    hasLivePeers,
     random: new SeededRandom(member.length),
     onChanged: () => {},
     write: (event, fields) => { if (process.env.DBG !== undefined) console.log(Math.round(performance.now()), member, event, JSON.stringify(fields)) }
--- a/packages/node/test/node/routed/partitionOwner.test.ts
+++ b/packages/node/test/node/routed/partitionOwner.test.ts
@@ -7,16 +7,16 @@
 
 const MAX_RECORD_BYTES = 4_096
 
-interface CreateOptions { generation?: number, seed?: number, logSilenceMs?: number, onLost?: (detail: string) => void }
+interface CreateOptions { generation?: number, seed?: number, sinceLogResponseMs?: number, onLost?: (detail: string) => void }
 
-function createOwner (log: FakeLog, { generation = 1, seed = 1, logSilenceMs = 0, onLost }: CreateOptions = {}): PartitionOwner {
+function createOwner (log: FakeLog, { generation = 1, seed = 1, sinceLogResponseMs = 0, onLost }: CreateOptions = {}): PartitionOwner {
   return new PartitionOwner({
     partition: 0,
     generation,
     log,
     maxRecordBytes: MAX_RECORD_BYTES,
     maxAppendBytes: 100_000,
-    logSilenceMs: () => logSilenceMs,
+    sinceLogResponseMs: () => sinceLogResponseMs,
     random: new SeededRandom(seed),
     onLost: (owner, detail) => {
       owner.lose(detail)
@@ -197,7 +197,7 @@
   await wait(500)
   const second = createOwner(log, { generation: 2 })
   await second.recover()
-  assert.ok(second.committedOf('p') >= first.committedOf('p'), `${second.committedOf('p')} of ${first.committedOf('p')} tokens`)
+  assert.ok(second.committedTokensOf('p') >= first.committedTokensOf('p'), `${second.committedTokensOf('p')} of ${first.committedTokensOf('p')} tokens`)
 })
 
 test.run()
