--- a/packages/node/src/common/routed/routedRequest.ts
+++ b/packages/node/src/common/routed/routedRequest.ts
@@ -1,6 +1,7 @@
 /** A caller's request to a route, and the sink for its answer. */
 import type { PromptPart } from '@trefoilshunt/core'
 
+/** Headers in order; a name may occur several times. */
 export type HeaderList = ReadonlyArray<readonly [name: string, value: string]>
 
 /** The program that a request belongs to. */
@@ -33,8 +34,9 @@
   /** Steady time at which the head of the request was received; its body may have arrived later. */
   arrivedAtMs: number
   affinityKey?: string
+  /** Parts of the prompt in order; empty if the caller states none. */
   prompt: PromptPart[]
-  /** Maximum number of tokens that the request generates. */
+  /** Maximum number of tokens that the request generates; 0 if the caller states none. */
   maxTokens: number
   program?: ProgramContext
   /** Id of the event after which the caller resumes a stream. */
@@ -58,7 +60,7 @@
   NoSuchTurn: 'noSuchTurn',
   Overloaded: 'overloaded',
   Quarantined: 'quarantined',
-  FateUnknown: 'fateUnknown',
+  OutcomeUnknown: 'fateUnknown',
   TimedOut: 'timedOut'
 } as const
 export type RefusalReason = typeof RefusalReason[keyof typeof RefusalReason]
--- a/packages/node/src/common/routed/workerClient.ts
+++ b/packages/node/src/common/routed/workerClient.ts
@@ -36,11 +36,14 @@
   /** The call ended early after the request was sent; it may have run. */
   | { type: 'broken', detail: string }
 
+/** Receives the answer or the failure of one call. */
 export interface IWorkerCallListener {
+  /** Called once, before any data. */
   onHead (head: WorkerAnswerHead): void
   onData (bytes: Uint8Array): void
   /** The answer is complete. */
   onEnd (): void
+  /** The call failed, possibly after `onHead` and a part of the data. */
   onFailed (failure: CallFailure): void
 }
 
@@ -56,5 +59,6 @@
   hasIdleConnection (address: string): boolean
   /** Closes the connections to an address that no worker uses any more; calls in flight may finish. */
   closeConnections (address: string): void
+  /** Closes all connections at once; calls in flight fail. */
   close (): Promise<void>
 }
--- a/packages/node/src/common/settings.ts
+++ b/packages/node/src/common/settings.ts
@@ -26,6 +26,7 @@
     logServiceUrl: httpUrlSchema,
     vmListUrl: httpUrlSchema,
     vmListPeriodMs: z.int().positive().default(2_000),
+    /** Timeout of each request to the log service and of each read of the VM list. */
     logTimeoutMs: z.int().positive().default(2_000)
   }),
   credentials: z.strictObject({
--- a/packages/node/src/node/routed/clusterView.ts
+++ b/packages/node/src/node/routed/clusterView.ts
@@ -14,7 +14,7 @@
 const ANNOUNCE_RETRY_MS = 300
 const APPEND_TIMEOUT_MS = 1_500
 const TOPIC_QUERY_TIMEOUT_MS = 500
-/** Peers that got no response from the log for this long, two joins of the member group, are not queried for topics. */
+/** Peers that got no response from the log for this long, several joins of the member group, are not queried for topics. */
 const MAX_SINCE_LOG_RESPONSE_MS = 1_100
 /** The document counts as fresh if the log has responded to this node's reads of it, or to a peer with no newer document, within this time. */
 const DOCUMENT_FRESH_MS = 4_000
--- a/packages/node/src/node/routed/partitionOwner.ts
+++ b/packages/node/src/node/routed/partitionOwner.ts
@@ -70,7 +70,7 @@
  */
 export class PartitionOwner {
   readonly partition: number
-  private readonly _state: PartitionState
+  private readonly _partitionState: PartitionState
   private _epoch: number
   private _ownerState: OwnerState = OwnerState.Waiting
   private _isHistoryComplete = false
@@ -86,7 +86,7 @@
     this.partition = _options.partition
     const firstEpoch = _options.generation * EPOCHS_PER_GENERATION
     this._epoch = firstEpoch + _options.random.nextInt(EPOCHS_PER_GENERATION / 2)
-    this._state = new PartitionState({ maxRecordBytes: _options.maxRecordBytes })
+    this._partitionState = new PartitionState({ maxRecordBytes: _options.maxRecordBytes })
     this._queue = new AppendQueue({
       topic: TURN_TOPIC,
       partition: this.partition,
@@ -118,17 +118,17 @@
 
   /** Number of turns held in memory. */
   get turnCount (): number {
-    return this._state.turnCount
+    return this._partitionState.turnCount
   }
 
   /** Size of the turns held in memory. */
   get turnBytes (): number {
-    return this._state.turnBytes
+    return this._partitionState.turnBytes
   }
 
   /** Number of programs with a token account. */
   get programCount (): number {
-    return this._state.programCount
+    return this._partitionState.programCount
   }
 
   /** Batches of records that are queued or in flight. */
@@ -173,7 +173,7 @@
       this._options.write('accountOutOfOrder', { partition: this.partition, recordKey: key })
       return
     }
-    if (!this._state.applyRecord(value, Date.now())) this._options.write('recordDamaged', { partition: this.partition, recordKey: key })
+    if (!this._partitionState.applyRecord(value, Date.now())) this._options.write('recordDamaged', { partition: this.partition, recordKey: key })
   }
 
   /** Starts to grant turns, once all accounts are read. Turns that continue an unread one stay undecided until the history is complete. */
@@ -191,13 +191,13 @@
 
   /** Number of tokens that a program has used and reserved; 0 for an unknown program. */
   committedTokensOf (programId: string): number {
-    return this._state.committedTokensOf(programId)
+    return this._partitionState.committedTokensOf(programId)
   }
 
   /** Decides on a turn, which is recorded at its end if `isRetained`. When this returns, its reservation is queued for the log. */
   grant (request: GrantRequest, isRetained: boolean): Grant {
-    if (this.isStalled && (isRetained || !this._state.isCovered(request))) return { type: 'stalled' }
-    const decision = this._state.grant(request, Date.now())
+    if (this.isStalled && (isRetained || !this._partitionState.isCovered(request))) return { type: 'stalled' }
+    const decision = this._partitionState.grant(request, Date.now())
     if (decision.type === 'noSuchTurn' && !this._isHistoryComplete) return { type: 'stalled' }
     if (decision.type !== 'granted') return decision
     const { chain, records, cached } = decision
@@ -212,7 +212,7 @@
   async end (end: TurnEnd): Promise<RecordOutcome> {
     const pending = this._pendingEnds.get(end.requestId)
     if (pending !== undefined) return await pending
-    const records = this._state.recordEnd(end, Date.now())
+    const records = this._partitionState.recordEnd(end, Date.now())
     if (records.length === 0) return 'recorded'
     if (end.turn === undefined) {
       this._queue.appendLazily(records)
@@ -228,12 +228,12 @@
 
   /** The turn and all turns before it, in order; undefined when the turn is unknown here. */
   chainOf (turnId: string): RetainedTurn[] | undefined {
-    return this._state.chainOf(turnId)
+    return this._partitionState.chainOf(turnId)
   }
 
   /** Adds turns of other partitions that a program of this one continues, and records them without waiting. */
   importTurns (chain: readonly RetainedTurn[]): void {
-    this._queue.appendLazily(this._state.importTurns(chain, Date.now()))
+    this._queue.appendLazily(this._partitionState.importTurns(chain, Date.now()))
   }
 
   /** True when the log confirms that no other owner has taken over the partition; false when this owner is fenced or lost. */
@@ -243,7 +243,7 @@
 
   /** Removes expired turns and accounts from memory and from the log. */
   expire (): void {
-    if (this.isServing) this._queue.appendLazily(this._state.expire(Date.now()))
+    if (this.isServing) this._queue.appendLazily(this._partitionState.expire(Date.now()))
   }
 
   /**
@@ -253,7 +253,7 @@
   async close (timeoutMs: number): Promise<void> {
     if (this._ownerState !== OwnerState.Serving) return
     this._isClosing = true
-    this._queue.appendLazily(this._state.sealAccounts(Date.now()))
+    this._queue.appendLazily(this._partitionState.sealAccounts(Date.now()))
     this._queue.flushLazy()
     const untilMs = steadyNowMs() + timeoutMs
     while (this.backlog > 0 && this._ownerState === OwnerState.Serving && steadyNowMs() < untilMs) await delay(CLOSE_POLL_MS)
--- a/packages/node/src/node/routed/peerMesh.ts
+++ b/packages/node/src/node/routed/peerMesh.ts
@@ -134,6 +134,7 @@
     this._disconnect(connection, 'removed')
   }
 
+  /** True while the connection that this node opened to the peer is established; false for an unknown peer. */
   isConnected (node: string): boolean {
     return this._connections.get(node)?.isConnected ?? false
   }
--- a/packages/node/src/node/routed/routedCall.ts
+++ b/packages/node/src/node/routed/routedCall.ts
@@ -243,7 +243,7 @@
     if (worker !== undefined) this._excluded.add(worker.workerId)
     if (worker !== undefined && attemptOutcome === AttemptOutcome.Unknown) void this._dependencies.poisonRequestDetector.handleBrokenRequest(this._request, worker)
     this._dependencies.metrics.count('attempts_failed_total', { fate: attemptOutcome })
-    const reason = attemptOutcome === AttemptOutcome.Refused ? RefusalReason.WorkerRefused : RefusalReason.FateUnknown
+    const reason = attemptOutcome === AttemptOutcome.Refused ? RefusalReason.WorkerRefused : RefusalReason.OutcomeUnknown
     // Events held back until the reservation is recorded are forwarded first: the next attempt resumes after the last forwarded event.
     this._relay.whenForwarding(() => {
       if (this._isDone) return
@@ -260,12 +260,12 @@
   }
 
   /** Ends the request without a complete answer: aborts an answer that has begun, else refuses the request. */
-  private _endWithoutAnswer (next: NextAction, detail: string, reason: RefusalReason = RefusalReason.FateUnknown): void {
+  private _endWithoutAnswer (next: NextAction, detail: string, reason: RefusalReason = RefusalReason.OutcomeUnknown): void {
     if (this._isDone) return
     this._reportTurnEnd(this._usedTokens)
     if (this._relay.hasBegun) this._abort(detail)
     else if (next.type === 'notRun') this._refuse({ status: 503, reason, retryAfterMs: reason === RefusalReason.Quarantined ? QUARANTINE_RETRY_AFTER_MS : BUSY_RETRY_AFTER_MS }, detail)
-    else this._refuse({ status: 502, reason: RefusalReason.FateUnknown }, detail)
+    else this._refuse({ status: 502, reason: RefusalReason.OutcomeUnknown }, detail)
   }
 
   private _expire (): void {
--- a/packages/protocol/src/common/callerApi.ts
+++ b/packages/protocol/src/common/callerApi.ts
@@ -92,7 +92,9 @@
   baseRevision: z.int().nonnegative()
 })
 
+/** A checked body of `POST /v1/programs`. */
 export type OpenBody = z.infer<typeof openBodySchema>
+/** Body of `POST /v1/programs/:id/steps` as a client sends it; fields with a default may be absent. */
 export type StepBody = z.input<typeof stepBodySchema>
 type CheckedStepBody = z.output<typeof stepBodySchema>
 
