--- a/packages/core/src/common/programs/stepDecision.ts
+++ b/packages/core/src/common/programs/stepDecision.ts
@@ -16,7 +16,7 @@
   /** An earlier step is running or the program is being handed over: wait. */
   | { type: 'wait' }
   /** An earlier attempt of this non-repeatable step may have run: look for its result. */
-  | { type: 'resolveClaim', intent: OpenIntent }
+  | { type: 'resolveIntent', intent: OpenIntent }
   /** The caller continues although the outcome of the previous step is not known: record that step as unknown. */
   | { type: 'recordUnknown', intent: OpenIntent }
   /** The caller's copy of the history has the turns that are missing here. */
@@ -85,7 +85,7 @@
 function decideWithOpenIntent (state: ProgramState, intent: OpenIntent, request: StepRequest, callDigest: string): StepDecision {
   if (request.step === intent.step) {
     const isSame = intent.key === request.key && intent.callDigest === callDigest
-    return isSame ? { type: 'resolveClaim', intent } : refuse(Reason.KeyReused, `step ${request.step} was started with another key or body`)
+    return isSame ? { type: 'resolveIntent', intent } : refuse(Reason.KeyReused, `step ${request.step} was started with another key or body`)
   }
   const isUnknownAccepted = request.step === intent.step + 1 && request.historyDigest === digestWithUnknown(state, intent)
   if (isUnknownAccepted) return { type: 'recordUnknown', intent }
--- a/packages/core/src/common/programs/stepRunner.ts
+++ b/packages/core/src/common/programs/stepRunner.ts
@@ -69,7 +69,7 @@
       case 'replay': return this._replay(exchange, program, decision.turn)
       case 'join': return this._join(exchange, program)
       case 'wait': return this._wait(exchange, program)
-      case 'resolveClaim': return this._resolveIntent(exchange, program, decision.intent)
+      case 'resolveIntent': return this._resolveIntent(exchange, program, decision.intent)
       case 'recordUnknown': return this._recordUnknown(exchange, program, decision.intent)
       case 'resupply': return this._addMissingTurns(exchange, program, decision.missing)
       case 'historyNeeded': return this._requestHistory(exchange, decision.knownStep)
--- a/packages/core/test/common/programs/stepDecision.test.ts
+++ b/packages/core/test/common/programs/stepDecision.test.ts
@@ -99,7 +99,7 @@
   const program = createProgram(1)
   const intent = { step: 2, key: 'k2', attempt: 1, call: DEPOSIT, callDigest: digestValue(DEPOSIT) }
   program.state.openClaim = intent
-  assert.is(decide(program, request(program, 2, { call: DEPOSIT })).type, 'resolveClaim')
+  assert.is(decide(program, request(program, 2, { call: DEPOSIT })).type, 'resolveIntent')
   assert.is(decide(program, request(program, 2, { call: CALL })).type, 'refuse')
   assert.is(decide(program, request(program, 3, { historyDigest: digestWithUnknown(program.state, intent) })).type, 'recordUnknown')
   assert.is(decide(program, request(program, 3)).type, 'historyNeeded')
